--- a/include/peridotspool/control/Command.h
+++ b/include/peridotspool/control/Command.h
@@ -2,8 +2,8 @@
 
 #include "peridotspool/base/TextDelta.h"
 #include "peridotspool/control/ReplicaSet.h"
+#include "peridotspool/gateway/PeerMessage.h"
 #include "peridotspool/gateway/QuotaFloors.h"
-#include "peridotspool/gateway/SharedMessage.h"
 #include "peridotspool/membership/EntryNonce.h"
 #include "peridotspool/membership/EntryProfile.h"
 #include "peridotspool/rollout/Rollout.h"
--- a/include/peridotspool/control/MachineState.h
+++ b/include/peridotspool/control/MachineState.h
@@ -2,8 +2,8 @@
 
 #include "peridotspool/control/MembershipState.h"
 #include "peridotspool/control/SettingsState.h"
+#include "peridotspool/gateway/PeerMessage.h"
 #include "peridotspool/gateway/QuotaFloors.h"
-#include "peridotspool/gateway/SharedMessage.h"
 #include "peridotspool/rollout/RolloutTable.h"
 #include "peridotspool/routing/Quarantine.h"
 
--- a/include/peridotspool/control/OperatorRequest.h
+++ b/include/peridotspool/control/OperatorRequest.h
@@ -2,8 +2,8 @@
 
 #include "peridotspool/base/Ids.h"
 #include "peridotspool/base/Time.h"
+#include "peridotspool/gateway/PeerMessage.h"
 #include "peridotspool/gateway/QuotaFloors.h"
-#include "peridotspool/gateway/SharedMessage.h"
 #include "peridotspool/rollout/Rollout.h"
 #include "peridotspool/routing/Quarantine.h"
 
--- a/include/peridotspool/fleet/DutyCall.h
+++ b/include/peridotspool/fleet/DutyCall.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Ids.h"
-#include "peridotspool/gateway/SharedMessage.h"
+#include "peridotspool/gateway/PeerMessage.h"
 
 #include <compare>
 #include <cstdint>
--- a/include/peridotspool/fleet/DutyDesk.h
+++ b/include/peridotspool/fleet/DutyDesk.h
@@ -4,7 +4,7 @@
 #include "peridotspool/fleet/DutyCall.h"
 #include "peridotspool/fleet/PoolPlanner.h"
 #include "peridotspool/fleet/UsageDesk.h"
-#include "peridotspool/gateway/CommonClock.h"
+#include "peridotspool/gateway/MedianClock.h"
 #include "peridotspool/gateway/RouteTable.h"
 
 #include <cstdint>
@@ -80,7 +80,7 @@
   }
   void TakeWall(std::uint64_t aProcess, std::int64_t aMicros, TimePoint aNow)
   {
-    mClock.Take(aProcess, aMicros, aNow);
+    mClock.RecordReading(aProcess, aMicros, aNow);
   }
   /** Returns true iff this replica may act at aNow. */
   bool Holds(const DutyView& aView, TimePoint aNow) const;
@@ -104,7 +104,7 @@
 
   DutyOptions mOptions;
   UsageDesk mUsage;
-  gateway::CommonClock mClock;
+  gateway::MedianClock mClock;
   struct Load
   {
     std::map<ServiceName, std::uint64_t> mRunning;
--- a/include/peridotspool/fleet/UsageDesk.h
+++ b/include/peridotspool/fleet/UsageDesk.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/gateway/SharedMessage.h"
+#include "peridotspool/gateway/PeerMessage.h"
 
 #include <cstdint>
 #include <map>
--- a/include/peridotspool/gateway/AttemptPolicy.h
+++ b/include/peridotspool/gateway/AttemptPolicy.h
@@ -7,7 +7,7 @@
 namespace peridotspool::gateway {
 
 /** How far one request has come. */
-struct AttemptFacts
+struct AttemptState
 {
   RequestKind mKind = RequestKind::kNonIdempotent;
   bool mResumable = false;
@@ -25,27 +25,27 @@
 enum class NextStep
 {
   /** Send it to another upstream, if the budget of repeats allows it. */
-  kTryAnother,
+  kRetryElsewhere,
   /** Tell the caller that it did not run, and when to come back. */
   kRefuse,
   /** Tell the caller that it failed, and may have run. */
   kFail,
   /** End the connection: the answer under way can't be made whole. */
-  kBreakOff,
+  kAbort,
   /** Hand the upstream's own answer on. */
-  kPassOn,
+  kForward,
 };
 
 /** The last upstream said, or is known, not to have run the request. */
 NextStep
-AfterNotRun(const AttemptFacts& aFacts);
+AfterNotExecuted(const AttemptState& aState);
 
 /** The last upstream may have run the request, and its answer is lost. */
 NextStep
-AfterLost(const AttemptFacts& aFacts);
+AfterLostResponse(const AttemptState& aState);
 
 /** The last upstream ran the request and says that it failed. */
 NextStep
-AfterFailure(const AttemptFacts& aFacts);
+AfterUpstreamError(const AttemptState& aState);
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/Customer.h
+++ b/include/peridotspool/gateway/Customer.h
@@ -25,7 +25,7 @@
   std::optional<std::uint32_t> mPriority;
   QuotaUnit mUnit = QuotaUnit::kRequests;
   /** What a request without a token count counts, in tokens. */
-  double mPlainTokens = 1.0;
+  double mDefaultTokens = 1.0;
   /** For all entries together; 0 for no limit. */
   double mRatePerSecond = 0.0;
   double mBurst = 0.0;
--- a/include/peridotspool/gateway/CommonClock.h
+++ b/include/peridotspool/gateway/MedianClock.h
@@ -14,11 +14,13 @@
  *
  * A pure step. Not thread-safe.
  */
-class CommonClock
+class MedianClock
 {
 public:
   /** Takes a process's time of day, read just now. */
-  void Take(std::uint64_t aProcess, std::int64_t aMicros, TimePoint aNow);
+  void RecordReading(std::uint64_t aProcess,
+                     std::int64_t aMicros,
+                     TimePoint aNow);
   /** Returns empty until a process has told its time. */
   std::optional<std::int64_t> Micros(TimePoint aNow) const;
 
@@ -26,7 +28,7 @@
   struct Reading
   {
     std::int64_t mOffset = 0;
-    TimePoint mAt;
+    TimePoint mReadAt;
   };
   std::map<std::uint64_t, Reading> mReadings;
 };
--- a/include/peridotspool/gateway/SharedMessage.h
+++ b/include/peridotspool/gateway/PeerMessage.h
@@ -31,7 +31,7 @@
 struct UsageReport
 {
   /** Names one life of the entry's process. */
-  std::uint64_t mLife = 0;
+  std::uint64_t mEntryIncarnation = 0;
   /** The entry's time of day when it sent this, in microseconds. */
   std::int64_t mWallMicros = 0;
   std::vector<UsageWindow> mWindows;
@@ -40,7 +40,7 @@
   /** The last change to the quarantine that the entry knows. */
   std::uint64_t mQuarantine = 0;
   /** Contents that it has refused since the last report. */
-  std::vector<ContentId> mCameAgain;
+  std::vector<ContentId> mResubmittedContents;
   /** The last start or end of a rollout that the entry knows. */
   std::uint64_t mRollouts = 0;
   /** The newest lease that the entry has taken. */
@@ -50,42 +50,42 @@
 };
 BOOST_DESCRIBE_STRUCT(UsageReport,
                       (),
-                      (mLife,
+                      (mEntryIncarnation,
                        mWallMicros,
                        mWindows,
                        mRunning,
                        mQuarantine,
-                       mCameAgain,
+                       mResubmittedContents,
                        mRollouts,
                        mQuotaLease))
 
 /** What most processes take for the time of day, when the leader sent this. */
-struct CommonTime
+struct MedianTime
 {
   std::int64_t mMicros = 0;
 
-  auto operator<=>(const CommonTime&) const = default;
+  auto operator<=>(const MedianTime&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(CommonTime, (), (mMicros))
+BOOST_DESCRIBE_STRUCT(MedianTime, (), (mMicros))
 
 /** Between entries, and between them and the control leader. */
-using SharedMessage = std::variant<QuotaAsk,
-                                   QuotaGrant,
-                                   UsageReport,
-                                   CommonTime,
-                                   LoadAsk,
-                                   LoadTold,
-                                   LoadSent,
-                                   LoadBegun,
-                                   LoadEnded,
-                                   routing::CrashReport,
-                                   routing::CrashTaken,
-                                   routing::TurnAsk,
-                                   routing::TurnAnswer,
-                                   routing::TurnEnded,
-                                   routing::QuarantineTold,
-                                   rollout::RolloutReport,
-                                   rollout::RolloutUpdate,
-                                   QuotaLease>;
+using PeerMessage = std::variant<QuotaRequest,
+                                 QuotaResponse,
+                                 UsageReport,
+                                 MedianTime,
+                                 LoadAsk,
+                                 LoadTold,
+                                 LoadSent,
+                                 LoadBegun,
+                                 LoadEnded,
+                                 routing::CrashReport,
+                                 routing::CrashTaken,
+                                 routing::TurnAsk,
+                                 routing::TurnAnswer,
+                                 routing::TurnEnded,
+                                 routing::QuarantineTold,
+                                 rollout::RolloutReport,
+                                 rollout::RolloutUpdate,
+                                 QuotaLease>;
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/QuotaStock.h
+++ b/include/peridotspool/gateway/PrefetchedQuota.h
@@ -8,17 +8,17 @@
 namespace peridotspool::gateway {
 
 /** Units that the leader granted to an entry for requests to come. */
-class QuotaStock
+class PrefetchedQuota
 {
 public:
-  void Put(double aUnits, TimePoint aLapsesAt);
+  void Add(double aUnits, TimePoint aExpiresAt);
   /** Takes all of them or none; returns when the first of them would lapse. */
-  std::optional<TimePoint> Take(double aUnits, TimePoint aNow);
+  std::optional<TimePoint> TryTake(double aUnits, TimePoint aNow);
 
 private:
   struct Lot
   {
-    TimePoint mLapsesAt;
+    TimePoint mExpiresAt;
     double mUnits = 0.0;
   };
 
--- a/include/peridotspool/gateway/QuotaBank.h
+++ b/include/peridotspool/gateway/QuotaAllocator.h
@@ -15,10 +15,10 @@
 
 namespace peridotspool::gateway {
 
-struct QuotaAnswerTo
+struct AddressedQuotaResponse
 {
   Address mTo;
-  QuotaGrant mGrant;
+  QuotaResponse mResponse;
 };
 
 struct QuotaBounds
@@ -31,15 +31,15 @@
 };
 
 /** What one customer was granted and refused since the last such figures. */
-struct QuotaFigures
+struct QuotaStatistics
 {
   CustomerName mCustomer;
   std::uint64_t mGranted = 0;
   /** Of mGranted, for no request in particular. */
-  std::uint64_t mStock = 0;
+  std::uint64_t mPrefetched = 0;
   std::uint64_t mRefused = 0;
   double mBalance = 0.0;
-  double mMost = 0.0;
+  double mMaxBalance = 0.0;
 };
 
 /**
@@ -55,105 +55,112 @@
  *
  * A pure step. Not thread-safe.
  */
-class QuotaBank
+class QuotaAllocator
 {
 public:
-  /** @param aGrantor names this time in the lead; random */
-  QuotaBank(QuotaBounds aBounds,
-            std::uint64_t aGrantor,
-            std::uint64_t aTerm,
-            QuotaFloors aCommitted,
-            TimePoint aNow);
+  /** @param aAllocatorId names this time in the lead; random */
+  QuotaAllocator(QuotaBounds aBounds,
+                 std::uint64_t aAllocatorId,
+                 std::uint64_t aTerm,
+                 QuotaFloors aCommitted,
+                 TimePoint aNow);
 
   /** Takes the customers' limits of the newest settings. */
-  void Use(const std::vector<Customer>& aCustomers, TimePoint aNow);
+  void SetCustomers(const std::vector<Customer>& aCustomers, TimePoint aNow);
   /** Takes the members of the newest epoch. */
-  void UseEntries(const std::vector<Address>& aEntries, TimePoint aNow);
+  void SetEntries(const std::vector<Address>& aEntries, TimePoint aNow);
   /** Takes the newest committed floors; returns true iff they are new. */
-  bool TakeCommitted(const QuotaFloors& aCommitted);
+  bool ApplyCommittedFloors(const QuotaFloors& aCommitted);
   /** Takes an entry's report; returns its next lease. */
   QuotaLease Renew(const Address& aEntry,
                    const QuotaLease& aHeld,
                    TimePoint aNow);
-  /** Leaves out what waits; see TakeAnswered. */
-  QuotaGrant Ask(const Address& aFrom, const QuotaAsk& aAsk, TimePoint aNow);
+  /** Leaves out what waits; see TakeDeferredResponses. */
+  QuotaResponse HandleRequest(const Address& aFrom,
+                              const QuotaRequest& aRequest,
+                              TimePoint aNow);
   /**
    * Answers to what waited for a floor to be committed, or for entries to
    * confirm a new leader's leases, whether that has come or not in time.
    */
-  std::vector<QuotaAnswerTo> TakeAnswered(TimePoint aNow);
+  std::vector<AddressedQuotaResponse> TakeDeferredResponses(TimePoint aNow);
   /** At least ten times a second, and after Ask: floors to be committed. */
-  std::optional<QuotaFloors> Due(TimePoint aNow);
+  std::optional<QuotaFloors> ProposeFloors(TimePoint aNow);
 
   bool HasLimits() const { return !mAccounts.empty(); }
   /** Customers that were refused something since the last call. */
-  std::vector<QuotaFigures> TakeFigures();
+  std::vector<QuotaStatistics> TakeStatistics();
   /** The part of the limits' rate that is given here. */
-  double FlowPart() const { return 1.0 - mLeases.OwnPart(); }
+  double LeaderShare() const { return 1.0 - mLeases.FallbackShare(); }
   const QuotaLeases& Leases() const { return mLeases; }
 
 private:
-  struct Held
+  struct DeferredItem
   {
     Address mFrom;
-    QuotaLine mLine;
-    TimePoint mSince;
+    QuotaRequestItem mItem;
+    TimePoint mDeferredAt;
   };
-  struct Stock
+  struct PrefetchedLot
   {
-    TimePoint mLapsesAt;
+    TimePoint mExpiresAt;
     double mUnits = 0.0;
   };
   struct Account
   {
     double mRate = 0.0;
-    double mMost = 0.0;
+    double mMaxBalance = 0.0;
     double mBalance = 0.0;
     /** mFlow up to which mBalance has grown. */
-    double mFlowAt = 0.0;
+    double mCreditedSeconds = 0.0;
     /** The highest floor that may be committed. */
     double mFloor = 0.0;
-    std::deque<Stock> mStock;
-    double mStockUnits = 0.0;
+    std::deque<PrefetchedLot> mPrefetched;
+    double mPrefetchedUnits = 0.0;
     /** Units of the largest request that waits for a lower floor. */
-    double mWanted = 0.0;
+    double mLargestDeferred = 0.0;
     /** Set while the settings don't name the customer. */
     std::optional<TimePoint> mRemovedAt;
-    QuotaFigures mFigures;
+    QuotaStatistics mStatistics;
   };
 
-  double MostOf(const Customer& aCustomer) const;
+  double MaxBalanceOf(const Customer& aCustomer) const;
   double CommittedFloor(const CustomerName& aCustomer,
                         const Account& aAccount) const;
   void Advance(TimePoint aNow);
   void AdvanceInSteps(TimePoint aNow);
-  void Grow(Account& aAccount, TimePoint aNow) const;
-  void Add(Account& aAccount, double aUnits, TimePoint aNow) const;
-  void TakeReturn(const QuotaReturn& aReturn, TimePoint aNow);
-  QuotaGrant MakeGrant(TimePoint aNow) const;
-  /** Unset: it waits, see TakeAnswered. */
-  std::optional<QuotaVerdict> Judge(const QuotaLine& aLine, TimePoint aNow);
-  QuotaVerdict Grant(Account& aAccount, const QuotaLine& aLine, TimePoint aNow);
-  QuotaVerdict Refuse(Account& aAccount, const QuotaLine& aLine) const;
-  double Kept(const Account& aAccount, const QuotaLine& aLine) const;
+  void Accrue(Account& aAccount, TimePoint aNow) const;
+  void AddUnits(Account& aAccount, double aUnits, TimePoint aNow) const;
+  void ApplyReturn(const QuotaReturn& aReturn, TimePoint aNow);
+  QuotaResponse MakeResponse(TimePoint aNow) const;
+  /** Unset: it waits, see TakeDeferredResponses. */
+  std::optional<QuotaResponseItem> Evaluate(const QuotaRequestItem& aItem,
+                                            TimePoint aNow);
+  QuotaResponseItem Grant(Account& aAccount,
+                          const QuotaRequestItem& aItem,
+                          TimePoint aNow);
+  QuotaResponseItem Refuse(Account& aAccount,
+                           const QuotaRequestItem& aItem) const;
+  double ReservedUnits(const Account& aAccount,
+                       const QuotaRequestItem& aItem) const;
   bool IsLow(const Account& aAccount) const;
   bool IsHigh(const Account& aAccount) const;
 
   QuotaBounds mBounds;
-  std::uint64_t mGrantor;
+  std::uint64_t mAllocatorId;
   QuotaLeases mLeases;
   QuotaFloors mCommitted;
   /** The newest floors that were given out to be committed. */
   QuotaFloors mProposed;
   TimePoint mProposedAt;
   TimePoint mScannedAt;
-  bool mLow = false;
-  TimePoint mBeganAt;
+  bool mNeedsLowerFloors = false;
+  TimePoint mStartedAt;
   /** Seconds of each limit's rate that were given here. */
-  double mFlow = 0.0;
-  TimePoint mFlowAt;
+  double mAccruedSeconds = 0.0;
+  TimePoint mAccruedAt;
   std::unordered_map<CustomerName, Account> mAccounts;
-  std::deque<Held> mHeld;
+  std::deque<DeferredItem> mDeferred;
 };
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/QuotaGate.h
+++ b/include/peridotspool/gateway/QuotaClient.h
@@ -2,9 +2,9 @@
 
 #include "peridotspool/base/Time.h"
 #include "peridotspool/gateway/Customer.h"
+#include "peridotspool/gateway/PrefetchedQuota.h"
 #include "peridotspool/gateway/QuotaMessage.h"
 #include "peridotspool/gateway/QuotaReceipt.h"
-#include "peridotspool/gateway/QuotaStock.h"
 
 #include <cstdint>
 #include <map>
@@ -19,29 +19,29 @@
 {
   kGranted,
   /** The leader is asked; the outcome comes with its answer, or in time. */
-  kAsked,
+  kPending,
   kRefused,
 };
 
-struct QuotaAnswer
+struct QuotaDecision
 {
   QuotaOutcome mOutcome = QuotaOutcome::kGranted;
   /** With kGranted. */
   QuotaReceipt mReceipt;
-  /** Names the request in later outcomes; set with kAsked. */
+  /** Names the request in later outcomes; set with kPending. */
   std::uint64_t mTag = 0;
-  /** With kAsked: what to send to the leader. */
-  QuotaAsk mAsk;
+  /** With kPending: what to send to the leader. */
+  QuotaRequest mRequest;
   /** With kRefused: when to come back. */
-  Duration mComeBack{ 0 };
+  Duration mRetryAfter{ 0 };
 };
 
-/** The late outcome of a request that was kAsked. */
-struct QuotaDecided
+/** The late outcome of a request that was kPending. */
+struct DeferredQuotaDecision
 {
   std::uint64_t mTag = 0;
   bool mGranted = false;
-  Duration mComeBack{ 0 };
+  Duration mRetryAfter{ 0 };
   /** Granted or not, its source is who decided. */
   QuotaReceipt mReceipt;
 };
@@ -55,68 +55,75 @@
  *
  * A pure step. Not thread-safe.
  */
-class QuotaGate
+class QuotaClient
 {
 public:
-  QuotaAnswer Take(const Customer& aCustomer, double aUnits, TimePoint aNow);
+  QuotaDecision Acquire(const Customer& aCustomer,
+                        double aUnits,
+                        TimePoint aNow);
   /** Takes the leader's answer. */
-  std::vector<QuotaDecided> TakeGrant(const QuotaGrant& aGrant);
+  std::vector<DeferredQuotaDecision> HandleResponse(
+    const QuotaResponse& aResponse);
   /** About every 50 ms: requests whose answer does not come. */
-  std::vector<QuotaDecided> Tick(TimePoint aNow);
+  std::vector<DeferredQuotaDecision> Tick(TimePoint aNow);
   /** Returns true iff the lease is of another leader than the one before. */
-  bool TakeLease(const QuotaLease& aLease, TimePoint aNow);
+  bool HandleLease(const QuotaLease& aLease, TimePoint aNow);
   /** The newest lease, for the next report. */
   const QuotaLease& Lease() const { return mLease; }
   /** What to ask a new leader: all that still waits for an answer. */
-  QuotaAsk AskAgain() const;
+  QuotaRequest PendingRequest() const;
   /** The request did not run after all. */
-  void GiveBack(const Customer& aCustomer,
-                double aUnits,
-                const QuotaReceipt& aReceipt,
-                TimePoint aNow);
+  void ReturnUnits(const Customer& aCustomer,
+                   double aUnits,
+                   const QuotaReceipt& aReceipt,
+                   TimePoint aNow);
   /** What to send to the leader now and then; unset if there is nothing. */
-  std::optional<QuotaAsk> TakeReturns();
+  std::optional<QuotaRequest> TakePendingReturns();
   /** The caller of a request that waits has gone. */
-  void Forget(std::uint64_t aTag);
+  void Cancel(std::uint64_t aTag);
   /** Units granted for requests that no longer waited, since the start. */
   double LateUnits() const { return mLateUnits; }
 
 private:
-  struct OwnPart
+  struct FallbackBalance
   {
     double mUnits = 0.0;
-    TimePoint mAt;
+    TimePoint mAccruedAt;
   };
   struct Account
   {
-    QuotaStock mStock;
+    PrefetchedQuota mPrefetched;
     /** Units a second that this entry uses, over the last seconds. */
-    double mUse = 0.0;
-    TimePoint mUsedAt;
+    double mUsageRate = 0.0;
+    TimePoint mUsageRateAt;
   };
-  struct Waiting
+  struct PendingItem
   {
     Customer mCustomer;
     double mUnits = 0.0;
-    TimePoint mAskedAt;
-    bool mStock = false;
+    TimePoint mRequestedAt;
+    bool mIsPrefetch = false;
   };
 
-  Account& Use(const Customer& aCustomer, double aUnits, TimePoint aNow);
-  bool UsesOwnPart(TimePoint aNow) const;
-  OwnPart* Grow(const Customer& aCustomer, TimePoint aNow);
-  bool TakeOwn(const Customer& aCustomer, double aUnits, TimePoint aNow);
-  Duration ComeBack(const Customer& aCustomer, double aUnits, TimePoint aNow);
-  bool RefusesAtOnce(TimePoint aNow) const;
-  QuotaAnswer Ask(const Customer& aCustomer,
-                  double aUnits,
-                  double aUse,
-                  TimePoint aNow);
-  void AddLine(QuotaAsk& aAsk, const Waiting& aWaiting);
-  void Return(const QuotaReturn& aReturn);
+  Account& RecordUsage(const Customer& aCustomer,
+                       double aUnits,
+                       TimePoint aNow);
+  bool MayUseFallback(TimePoint aNow) const;
+  FallbackBalance* AccrueFallback(const Customer& aCustomer, TimePoint aNow);
+  bool AcquireFallback(const Customer& aCustomer,
+                       double aUnits,
+                       TimePoint aNow);
+  Duration RetryAfter(const Customer& aCustomer, double aUnits, TimePoint aNow);
+  bool MustRefuse(TimePoint aNow) const;
+  QuotaDecision MakeRequest(const Customer& aCustomer,
+                            double aUnits,
+                            double aUsageRate,
+                            TimePoint aNow);
+  void AddItem(QuotaRequest& aRequest, const PendingItem& aItem);
+  void QueueReturn(const QuotaReturn& aReturn);
 
   std::unordered_map<CustomerName, Account> mAccounts;
-  std::map<std::uint64_t, Waiting> mWaiting;
+  std::map<std::uint64_t, PendingItem> mPending;
   std::uint64_t mLastTag = 0;
   std::vector<QuotaReturn> mReturns;
   double mLateUnits = 0.0;
@@ -126,7 +133,7 @@
   QuotaLease mLease;
   TimePoint mLeaseEnd;
   /** Since mLeaseEnd. */
-  std::unordered_map<CustomerName, OwnPart> mOwnParts;
+  std::unordered_map<CustomerName, FallbackBalance> mFallbackBalances;
 };
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/QuotaFloors.h
+++ b/include/peridotspool/gateway/QuotaFloors.h
@@ -12,7 +12,7 @@
 /**
  * How far the leader may let customers' balances fall, as committed in the
  * control log. A customer that isn't listed has the floor that is implied by
- * its limit (QuotaBank).
+ * its limit (QuotaAllocator).
  */
 struct QuotaFloors
 {
--- a/include/peridotspool/gateway/QuotaLeases.h
+++ b/include/peridotspool/gateway/QuotaLeases.h
@@ -21,56 +21,56 @@
 class QuotaLeases
 {
 public:
-  /** @param aGrantor names this time in the lead */
-  QuotaLeases(std::uint64_t aGrantor, std::uint64_t aTerm);
+  /** @param aAllocatorId names this time in the lead */
+  QuotaLeases(std::uint64_t aAllocatorId, std::uint64_t aTerm);
 
   /** Takes the members of the newest epoch. */
-  void UseEntries(const std::vector<Address>& aEntries, TimePoint aNow);
+  void SetEntries(const std::vector<Address>& aEntries, TimePoint aNow);
   /** Takes the newest lease that an entry holds, and makes its next one. */
   QuotaLease Renew(const Address& aEntry,
                    const QuotaLease& aHeld,
                    TimePoint aNow);
   /** Returns true iff the entry surely uses no own part at aNow. */
-  bool Covers(const Address& aEntry, TimePoint aNow) const;
+  bool IsLeased(const Address& aEntry, TimePoint aNow) const;
   /** Finds the entries whose cover has ended by aNow. */
   void Advance(TimePoint aNow);
 
   /** The share of each limit's rate that uncovered entries may be using. */
-  double OwnPart() const { return mOwnPart; }
+  double FallbackShare() const { return mFallbackShare; }
   /** What they may have saved up at most, in seconds of a limit's rate. */
-  double OwnSaved() const { return mOwnSaved; }
-  std::size_t Uncovered() const { return mUncovered; }
-  std::size_t Entries() const { return mMembers; }
+  double FallbackAccrual() const { return mFallbackAccrual; }
+  std::size_t UnleasedEntries() const { return mUnleasedEntries; }
+  std::size_t MemberCount() const { return mMemberCount; }
 
 private:
-  struct Sent
+  struct SentLease
   {
     std::uint64_t mNumber = 0;
-    TimePoint mAt;
-    std::uint32_t mParts = 0;
+    TimePoint mSentAt;
+    std::uint32_t mFallbackDivisor = 0;
   };
-  struct Holder
+  struct EntryState
   {
-    bool mMember = false;
+    bool mIsMember = false;
     /** It has held a lease of some leader. */
-    bool mMayUse = false;
-    TimePoint mCoveredUntil;
-    std::deque<Sent> mSent;
+    bool mMayUseFallback = false;
+    TimePoint mLeasedUntil;
+    std::deque<SentLease> mSentLeases;
     /** The largest own part that it may have been told of is one of these. */
-    std::uint32_t mLeastParts = 0;
+    std::uint32_t mMinFallbackDivisor = 0;
   };
 
-  void Confirm(Holder& aHolder, const QuotaLease& aHeld);
+  void Confirm(EntryState& aState, const QuotaLease& aHeld);
 
-  std::uint64_t mGrantor;
+  std::uint64_t mAllocatorId;
   std::uint64_t mTerm;
   std::uint64_t mLastNumber = 0;
-  std::uint32_t mParts = 1;
-  std::size_t mMembers = 0;
-  std::map<Address, Holder> mHolders;
-  double mOwnPart = 0.0;
-  double mOwnSaved = 0.0;
-  std::size_t mUncovered = 0;
+  std::uint32_t mFallbackDivisor = 1;
+  std::size_t mMemberCount = 0;
+  std::map<Address, EntryState> mEntries;
+  double mFallbackShare = 0.0;
+  double mFallbackAccrual = 0.0;
+  std::size_t mUnleasedEntries = 0;
 };
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/QuotaReceipt.h
+++ b/include/peridotspool/gateway/QuotaReceipt.h
@@ -26,10 +26,10 @@
 {
   QuotaSource mSource = QuotaSource::kNone;
   /** With kLeader, as in its grant. */
-  std::uint64_t mGrantor = 0;
+  std::uint64_t mAllocatorId = 0;
   std::int64_t mGrantedAt = 0;
   /** With kStock. */
-  TimePoint mLapsesAt;
+  TimePoint mExpiresAt;
 
   auto operator<=>(const QuotaReceipt&) const = default;
 };
--- a/include/peridotspool/gateway/ServiceProfile.h
+++ b/include/peridotspool/gateway/ServiceProfile.h
@@ -17,9 +17,9 @@
   std::uint32_t mMin = 0;
   std::uint32_t mMax = 0;
   /** From the order to the first request served. */
-  Duration mBoot{ 0 };
+  Duration mBootTime{ 0 };
   /** A reclaimable upstream's price as a part of a lasting one's. */
-  double mReclaimablePrice = 1.0;
+  double mReclaimablePriceRatio = 1.0;
   /** The price of one second of a lasting upstream. */
   std::map<FailureDomain, double> mPrices;
 
--- a/include/peridotspool/gateway/RepeatBudget.h
+++ b/include/peridotspool/gateway/ServiceRetryBudget.h
@@ -10,15 +10,15 @@
 
 namespace peridotspool::gateway {
 
-struct RepeatBudgetOptions
+struct ServiceRetryBudgetOptions
 {
   /** Repeats allowed for each request that callers send. */
   double mRatio = 0.2;
   /** Repeats allowed besides in a window, for all entries together. */
-  double mExtra = 10.0;
+  double mFixedAllowance = 10.0;
   Duration mWindow = std::chrono::seconds(10);
-  /** Entries that share mExtra; as many as may run at once. */
-  std::size_t mEntries = 1;
+  /** Entries that share mFixedAllowance; as many as may run at once. */
+  std::size_t mEntryCount = 1;
   /** When the process started: it doesn't know what it repeated before. */
   TimePoint mStartedAt;
 };
@@ -31,16 +31,16 @@
  *
  * A pure step. Not thread-safe.
  */
-class RepeatBudget
+class ServiceRetryBudget
 {
 public:
-  explicit RepeatBudget(RepeatBudgetOptions aOptions);
+  explicit ServiceRetryBudget(ServiceRetryBudgetOptions aOptions);
 
-  void UseEntries(std::size_t aEntries);
+  void SetEntryCount(std::size_t aEntries);
   /** A caller's request for the service has come. */
-  void TakeRequest(const ServiceName& aService, TimePoint aNow);
+  void RecordRequest(const ServiceName& aService, TimePoint aNow);
   /** Takes one repeat out of the budget; false iff none is left. */
-  bool TakeRepeat(const ServiceName& aService, TimePoint aNow);
+  bool TryAcquireRetry(const ServiceName& aService, TimePoint aNow);
 
 private:
   static constexpr std::size_t kWindowSlices = 10;
@@ -50,13 +50,13 @@
   {
     std::int64_t mNumber = -1;
     std::uint32_t mRequests = 0;
-    std::uint32_t mRepeats = 0;
+    std::uint32_t mRetries = 0;
   };
   using Slices = std::array<Slice, kSlices>;
 
-  Slice& Current(const ServiceName& aService, TimePoint aNow);
+  Slice& CurrentSlice(const ServiceName& aService, TimePoint aNow);
 
-  RepeatBudgetOptions mOptions;
+  ServiceRetryBudgetOptions mOptions;
   std::unordered_map<ServiceName, Slices> mSlices;
 };
 
--- a/include/peridotspool/gateway/TokenCounts.h
+++ b/include/peridotspool/gateway/TokenCounts.h
@@ -14,17 +14,17 @@
 {
   std::uint64_t mPrompt = 0;
   /** The most that may be generated. */
-  std::uint64_t mAnswer = 0;
+  std::uint64_t mMaxOutput = 0;
 
   auto operator<=>(const TokenCounts&) const = default;
 };
 
 /** Reads "PROMPT,ANSWER"; empty for anything else. */
 std::optional<TokenCounts>
-ReadTokenCounts(std::string_view aText);
+ParseTokenCounts(std::string_view aText);
 
 /** Returns how long a generation may take on an engine that is well loaded. */
 Duration
-LongestTime(const TokenCounts& aCounts);
+MaxGenerationTime(const TokenCounts& aCounts);
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/UsageTally.h
+++ b/include/peridotspool/gateway/UsageCounter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/gateway/SharedMessage.h"
+#include "peridotspool/gateway/PeerMessage.h"
 
 #include <cstdint>
 #include <map>
@@ -16,13 +16,13 @@
  *
  * A pure step. Not thread-safe.
  */
-class UsageTally
+class UsageCounter
 {
 public:
-  UsageTally(Duration aWindow, std::uint64_t aLife);
+  UsageCounter(Duration aWindow, std::uint64_t aIncarnation);
 
   /** Takes the common time of day that the leader sent just now. */
-  void TakeTime(std::int64_t aMicros, TimePoint aNow);
+  void SetMedianTime(std::int64_t aMicros, TimePoint aNow);
   /** aWallMicros is the own time of day, for as long as no other is known. */
   void Count(const CustomerName& aCustomer,
              std::int64_t aWallMicros,
@@ -31,9 +31,9 @@
 
 private:
   Duration mWindow;
-  std::uint64_t mLife;
+  std::uint64_t mIncarnation;
   /** Common time of day less the process's clock, in microseconds. */
-  std::optional<std::int64_t> mOffset;
+  std::optional<std::int64_t> mMedianOffset;
   std::map<std::uint64_t, UsageWindow> mWindows;
 };
 
--- a/include/peridotspool/runtime/ControlHostOptions.h
+++ b/include/peridotspool/runtime/ControlHostOptions.h
@@ -4,7 +4,7 @@
 #include "peridotspool/control/ControlOptions.h"
 #include "peridotspool/control/RestoredState.h"
 #include "peridotspool/fleet/DutyDesk.h"
-#include "peridotspool/gateway/QuotaBank.h"
+#include "peridotspool/gateway/QuotaAllocator.h"
 #include "peridotspool/rollout/RolloutController.h"
 #include "peridotspool/runtime/ControlDialect.h"
 #include "peridotspool/settings/LogSettings.h"
--- a/include/peridotspool/wire/PeerEnvelope.h
+++ b/include/peridotspool/wire/PeerEnvelope.h
@@ -2,7 +2,7 @@
 
 #include "peridotspool/base/Address.h"
 #include "peridotspool/control/ReplicaMessage.h"
-#include "peridotspool/gateway/SharedMessage.h"
+#include "peridotspool/gateway/PeerMessage.h"
 #include "peridotspool/ledger/Message.h"
 #include "peridotspool/membership/EntryMessage.h"
 #include "peridotspool/membership/RegistryMessage.h"
@@ -47,7 +47,7 @@
                                  ToEntryEnvelope,
                                  MemberEnvelope,
                                  membership::RegistryMessage,
-                                 gateway::SharedMessage>;
+                                 gateway::PeerMessage>;
 
 /** One frame between two of our processes. */
 struct PeerEnvelope
--- a/src/fleet/DutyDesk.cpp
+++ b/src/fleet/DutyDesk.cpp
@@ -26,9 +26,10 @@
 void
 DutyDesk::TakeReport(const gateway::UsageReport& aReport, TimePoint aNow)
 {
-  mClock.Take(aReport.mLife, aReport.mWallMicros, aNow);
+  mClock.RecordReading(aReport.mEntryIncarnation, aReport.mWallMicros, aNow);
   mUsage.Take(aReport, mClock.Micros(aNow).value_or(aReport.mWallMicros));
-  mLoads[aReport.mLife] = { .mRunning = aReport.mRunning, .mAt = aNow };
+  mLoads[aReport.mEntryIncarnation] = { .mRunning = aReport.mRunning,
+                                        .mAt = aNow };
   std::erase_if(mLoads, [&](const auto& aPair) {
     return aNow - aPair.second.mAt > kLoadAge;
   });
--- a/src/fleet/PoolPlanner.cpp
+++ b/src/fleet/PoolPlanner.cpp
@@ -25,7 +25,7 @@
 {
   const auto domains = static_cast<double>(aScaling.mPrices.size());
   const double forLoss = domains < 2 ? 1.0 : domains / (domains - 1);
-  const double price = std::max(aScaling.mReclaimablePrice, 0.01);
+  const double price = std::max(aScaling.mReclaimablePriceRatio, 0.01);
   return std::max(forLoss, std::min(kInPlaceOfOne, 1.0 / price));
 }
 
@@ -70,7 +70,7 @@
   if (!mLastingOrdered) {
     mFoundLasting = std::max(mFoundLasting, CountOf(aView, false));
   }
-  if (aNow - *mPlansSince < aScaling.mBoot) {
+  if (aNow - *mPlansSince < aScaling.mBootTime) {
     mFoundReclaimable = std::max(mFoundReclaimable, CountOf(aView, true));
   }
 }
@@ -273,8 +273,11 @@
     if (!key.mReclaimable && Listens(aNow)) {
       continue;
     }
-    if (IsDue(
-          slot, ReadyOf(aView, key), count, aService.mScaling->mBoot, aNow)) {
+    if (IsDue(slot,
+              ReadyOf(aView, key),
+              count,
+              aService.mScaling->mBootTime,
+              aNow)) {
       slot.mUnderWay = true;
       mLastingOrdered =
         mLastingOrdered || (!key.mReclaimable && count > ReadyOf(aView, key));
--- a/src/fleet/UsageDesk.cpp
+++ b/src/fleet/UsageDesk.cpp
@@ -23,12 +23,12 @@
 void
 UsageDesk::Take(const gateway::UsageReport& aReport, std::int64_t aMicros)
 {
-  mReportedAt[aReport.mLife] = aMicros;
+  mReportedAt[aReport.mEntryIncarnation] = aMicros;
   std::erase_if(mReportedAt, [&](const auto& aPair) {
     return aMicros - aPair.second > kForgetMicros;
   });
   for (const gateway::UsageWindow& window : aReport.mWindows) {
-    mReports[window.mNumber][aReport.mLife] = window;
+    mReports[window.mNumber][aReport.mEntryIncarnation] = window;
   }
   while (mReports.size() > kMostWindows) {
     mReports.erase(mReports.begin());
--- a/src/gateway/AttemptPolicy.cpp
+++ b/src/gateway/AttemptPolicy.cpp
@@ -5,57 +5,57 @@
 namespace {
 
 /** Upstreams asked in vain before the caller is told to come back. */
-constexpr std::uint32_t kMostRefusals = 4;
+constexpr std::uint32_t kMaxRefusals = 4;
 
 // A stream that may be resumed is repeated like an idempotent call; any other
 // stream is as good as non-idempotent: its events can't be told apart.
 bool
-MayRepeat(const AttemptFacts& aFacts)
+IsRetryable(const AttemptState& aState)
 {
-  return aFacts.mKind == RequestKind::kIdempotent ||
-         (aFacts.mKind == RequestKind::kStreaming && aFacts.mResumable);
+  return aState.mKind == RequestKind::kIdempotent ||
+         (aState.mKind == RequestKind::kStreaming && aState.mResumable);
 }
 
 bool
-MayRunAgain(const AttemptFacts& aFacts)
+CanRetry(const AttemptState& aState)
 {
-  return MayRepeat(aFacts) && aFacts.mRuns < aFacts.mMaxAttempts &&
-         aFacts.mTimeLeft;
+  return IsRetryable(aState) && aState.mRuns < aState.mMaxAttempts &&
+         aState.mTimeLeft;
 }
 
 } // namespace
 
 NextStep
-AfterNotRun(const AttemptFacts& aFacts)
+AfterNotExecuted(const AttemptState& aState)
 {
-  if (aFacts.mTimeLeft && aFacts.mRefusals < kMostRefusals &&
-      aFacts.mRuns < aFacts.mMaxAttempts) {
-    return NextStep::kTryAnother;
+  if (aState.mTimeLeft && aState.mRefusals < kMaxRefusals &&
+      aState.mRuns < aState.mMaxAttempts) {
+    return NextStep::kRetryElsewhere;
   }
-  if (aFacts.mBegun) {
-    return NextStep::kBreakOff;
+  if (aState.mBegun) {
+    return NextStep::kAbort;
   }
   // "Did not run" must be true of all upstreams that were asked, not only of
   // the last one.
-  return aFacts.mRuns == 0 ? NextStep::kRefuse : NextStep::kFail;
+  return aState.mRuns == 0 ? NextStep::kRefuse : NextStep::kFail;
 }
 
 NextStep
-AfterLost(const AttemptFacts& aFacts)
+AfterLostResponse(const AttemptState& aState)
 {
-  if (MayRunAgain(aFacts)) {
-    return NextStep::kTryAnother;
+  if (CanRetry(aState)) {
+    return NextStep::kRetryElsewhere;
   }
-  return aFacts.mBegun ? NextStep::kBreakOff : NextStep::kFail;
+  return aState.mBegun ? NextStep::kAbort : NextStep::kFail;
 }
 
 NextStep
-AfterFailure(const AttemptFacts& aFacts)
+AfterUpstreamError(const AttemptState& aState)
 {
-  if (MayRunAgain(aFacts)) {
-    return NextStep::kTryAnother;
+  if (CanRetry(aState)) {
+    return NextStep::kRetryElsewhere;
   }
-  return NextStep::kPassOn;
+  return NextStep::kForward;
 }
 
 } // namespace peridotspool::gateway
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -45,10 +45,10 @@
   return std::max(Duration(0), mDeadline - mCore.mNow());
 }
 
-AttemptFacts
+AttemptState
 Exchange::Facts() const
 {
-  return AttemptFacts{ .mKind = mRoute->mKind,
+  return AttemptState{ .mKind = mRoute->mKind,
                        .mResumable = mRoute->mResumable,
                        .mRuns = mRuns,
                        .mMaxAttempts = mRoute->mMaxAttempts,
@@ -190,7 +190,7 @@
     return std::nullopt;
   }
   const auto counts =
-    ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
+    ParseTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
   return counts && counts->mPrompt < kSmallPrompt ? 1U : 5U;
 }
 
--- a/src/gateway/Exchange.h
+++ b/src/gateway/Exchange.h
@@ -45,7 +45,7 @@
   bool Admit();
   bool OutlivesProcess() const;
   void AskQuota();
-  void OnQuota(const QuotaDecided& aDecided);
+  void OnQuota(const DeferredQuotaDecision& aDecided);
   void TakeGranted(const QuotaReceipt& aReceipt);
   void GiveBack(const QuotaReceipt& aReceipt);
   void RefuseForQuota(Duration aComeBack, QuotaSource aDecidedBy);
@@ -53,7 +53,7 @@
   void CountUsage();
   void ChooseService();
   Duration TimeLeft() const;
-  AttemptFacts Facts() const;
+  AttemptState Facts() const;
   void Dispatch();
   void ChooseVersion();
   rollout::VersionAnswer VersionAnswerOf(bool aFailed) const;
--- a/src/gateway/ExchangeAnswer.cpp
+++ b/src/gateway/ExchangeAnswer.cpp
@@ -154,7 +154,7 @@
     ++mRefusals;
     EndSend(mHead.mStatus == kMisdirected ? SendResult::kOther
                                           : SendResult::kFull);
-    Follow(AfterNotRun(Facts()),
+    Follow(AfterNotExecuted(Facts()),
            "upstreams refused",
            CounterId::kRetryUpstreamRefused);
     return;
@@ -189,7 +189,7 @@
   const bool stamped = !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
   if (IsSuccess(mHead.mStatus) && !stamped) {
     EndSend(SendResult::kFailed);
-    Follow(AfterLost(Facts()),
+    Follow(AfterLostResponse(Facts()),
            "an answer without proof",
            CounterId::kRetryCrossedAnswer);
     return;
@@ -201,8 +201,8 @@
   const bool failed = mHead.mStatus >= kFirstServerError;
   NoteVersion(failed);
   EndSend(failed ? SendResult::kFailed : SendResult::kAnswered);
-  if (failed && AfterFailure(Facts()) == NextStep::kTryAnother &&
-      mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
+  if (failed && AfterUpstreamError(Facts()) == NextStep::kRetryElsewhere &&
+      mCore.mBudget.TryAcquireRetry(mService, mCore.mNow())) {
     mCore.mCounters.Add(mCore.mRollouts.IsTrying(mService, mVersion)
                           ? CounterId::kRetryNewVersion
                           : CounterId::kRetryUpstreamRefused);
@@ -262,13 +262,13 @@
                       { "begun", mBegun } });
   if (!aFailure.mMayHaveBeenSent) {
     ++mRefusals;
-    Follow(AfterNotRun(Facts()),
+    Follow(AfterNotExecuted(Facts()),
            "upstreams can't be reached",
            CounterId::kRetryConnectionBroken);
     return;
   }
   ++mRuns;
-  Follow(AfterLost(Facts()),
+  Follow(AfterLostResponse(Facts()),
          "the upstream's answer was lost",
          CounterId::kRetryConnectionBroken);
 }
--- a/src/gateway/ExchangeEnd.cpp
+++ b/src/gateway/ExchangeEnd.cpp
@@ -27,7 +27,7 @@
 {
   // What never reached an upstream is no repeat for it.
   const bool free = mRuns == 0 && aRetry == CounterId::kRetryConnectionBroken;
-  if (free || mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
+  if (free || mCore.mBudget.TryAcquireRetry(mService, mCore.mNow())) {
     mCore.mCounters.Add(aRetry);
     Dispatch();
   } else if (mBegun) {
@@ -44,7 +44,7 @@
 Exchange::Follow(NextStep aStep, const char* aReason, CounterId aRetry)
 {
   switch (aStep) {
-    case NextStep::kTryAnother:
+    case NextStep::kRetryElsewhere:
       TryAnother(aRetry);
       return;
     case NextStep::kRefuse:
@@ -52,10 +52,10 @@
       AnswerOwn(kUnavailable, aReason, kComeBackSoon);
       return;
     case NextStep::kFail:
-    case NextStep::kPassOn:
+    case NextStep::kForward:
       AnswerOwn(kBadGateway, aReason);
       return;
-    case NextStep::kBreakOff:
+    case NextStep::kAbort:
       BreakOff(aReason);
       return;
   }
@@ -129,7 +129,7 @@
 Exchange::End(unsigned aStatus, const char* aReason)
 {
   if (mQuotaTag != 0) {
-    mCore.mQuota.Forget(mQuotaTag);
+    mCore.mQuota.Cancel(mQuotaTag);
     mCore.mWaiting.erase(mQuotaTag);
     mQuotaTag = 0;
   }
--- a/src/gateway/ExchangeQuota.cpp
+++ b/src/gateway/ExchangeQuota.cpp
@@ -28,9 +28,9 @@
     return 1.0;
   }
   const auto counts =
-    ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
-  return counts ? static_cast<double>(counts->mPrompt + counts->mAnswer)
-                : mCustomer->mPlainTokens;
+    ParseTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
+  return counts ? static_cast<double>(counts->mPrompt + counts->mMaxOutput)
+                : mCustomer->mDefaultTokens;
 }
 
 void
@@ -40,28 +40,28 @@
     Dispatch();
     return;
   }
-  const QuotaAnswer answer =
-    mCore.mQuota.Take(*mCustomer, Units(), mCore.mNow());
+  const QuotaDecision answer =
+    mCore.mQuota.Acquire(*mCustomer, Units(), mCore.mNow());
   switch (answer.mOutcome) {
     case QuotaOutcome::kGranted:
       TakeGranted(answer.mReceipt);
       return;
     case QuotaOutcome::kRefused:
-      RefuseForQuota(answer.mComeBack, QuotaSource::kOwnPart);
+      RefuseForQuota(answer.mRetryAfter, QuotaSource::kOwnPart);
       return;
-    case QuotaOutcome::kAsked:
+    case QuotaOutcome::kPending:
       mQuotaTag = answer.mTag;
       mCore.mWaiting[mQuotaTag] =
-        [self = shared_from_this()](const QuotaDecided& aDecided) {
+        [self = shared_from_this()](const DeferredQuotaDecision& aDecided) {
           self->OnQuota(aDecided);
         };
-      mCore.mTellLeader(answer.mAsk);
+      mCore.mTellLeader(answer.mRequest);
       return;
   }
 }
 
 void
-Exchange::OnQuota(const QuotaDecided& aDecided)
+Exchange::OnQuota(const DeferredQuotaDecision& aDecided)
 {
   mQuotaTag = 0;
   if (mOver) {
@@ -71,7 +71,7 @@
   } else if (aDecided.mGranted) {
     TakeGranted(aDecided.mReceipt);
   } else {
-    RefuseForQuota(aDecided.mComeBack, aDecided.mReceipt.mSource);
+    RefuseForQuota(aDecided.mRetryAfter, aDecided.mReceipt.mSource);
   }
 }
 
@@ -79,7 +79,7 @@
 Exchange::GiveBack(const QuotaReceipt& aReceipt)
 {
   if (mCustomer != nullptr) {
-    mCore.mQuota.GiveBack(*mCustomer, Units(), aReceipt, mCore.mNow());
+    mCore.mQuota.ReturnUnits(*mCustomer, Units(), aReceipt, mCore.mNow());
   }
 }
 
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -85,7 +85,7 @@
       .mHost = FieldOf(mRequest.mFields, "host"),
       .mTarget = mRequest.mTarget,
       .mBody = mRequest.mBody });
-  mCore.mBudget.TakeRequest(mService, mArrivedAt);
+  mCore.mBudget.RecordRequest(mService, mArrivedAt);
   mTimer.expires_after(wait);
   mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
     if (!aError && !self->mOver) {
@@ -134,9 +134,9 @@
 Exchange::OutlivesProcess() const
 {
   const auto counts =
-    ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
+    ParseTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
   return mCore.mStopPlan && counts &&
-         !mCore.mStopPlan->MayTake(LongestTime(*counts), mCore.mNow());
+         !mCore.mStopPlan->MayTake(MaxGenerationTime(*counts), mCore.mNow());
 }
 
 void
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -52,8 +52,8 @@
 void
 GatewayCore::NoteCameAgain(const ContentId& aContent)
 {
-  if (mCameAgain.size() < kMostCameAgain) {
-    mCameAgain.insert(aContent);
+  if (mResubmittedContents.size() < kMostCameAgain) {
+    mResubmittedContents.insert(aContent);
   }
 }
 
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -7,13 +7,13 @@
 #include "peridotspool/gateway/KeeperMap.h"
 #include "peridotspool/gateway/LoadInquiries.h"
 #include "peridotspool/gateway/LoadKeeper.h"
-#include "peridotspool/gateway/QuotaGate.h"
-#include "peridotspool/gateway/RepeatBudget.h"
+#include "peridotspool/gateway/QuotaClient.h"
 #include "peridotspool/gateway/RouteTable.h"
+#include "peridotspool/gateway/ServiceRetryBudget.h"
 #include "peridotspool/gateway/StartPlan.h"
 #include "peridotspool/gateway/StopPlan.h"
 #include "peridotspool/gateway/UpstreamBoard.h"
-#include "peridotspool/gateway/UsageTally.h"
+#include "peridotspool/gateway/UsageCounter.h"
 #include "peridotspool/observe/Counters.h"
 #include "peridotspool/observe/Logger.h"
 #include "peridotspool/rollout/RolloutGate.h"
@@ -46,27 +46,28 @@
   http::net::io_context& mIo;
   HeaderNames mNames;
   UpstreamBoard mBoard;
-  RepeatBudget mBudget;
+  ServiceRetryBudget mBudget;
   UpstreamPool mPool;
   observe::Logger& mLogger;
   observe::Counters& mCounters;
   std::function<TimePoint()> mNow;
-  QuotaGate mQuota;
-  UsageTally mUsage;
+  QuotaClient mQuota;
+  UsageCounter mUsage;
   /** Sends to the leader; dropped where none is known. */
-  std::function<void(SharedMessage)> mTellLeader;
+  std::function<void(PeerMessage)> mTellLeader;
   KeeperMap mKeepers;
   /** The upstreams that this entry keeps account of. */
   LoadKeeper mKeeper;
   LoadInquiries mInquiries;
   /** Sends to another entry; what is for this one is taken at once. */
-  std::function<void(const Address&, SharedMessage)> mTellEntry;
+  std::function<void(const Address&, PeerMessage)> mTellEntry;
   /** Distinguishes the sends of this process from those of others. */
   std::uint64_t mLastSend = 0;
   /** The own time of day, in microseconds. */
   std::function<std::int64_t()> mWall;
   /** Exchanges that wait for the leader's word, by the gate's tag. */
-  std::unordered_map<std::uint64_t, std::function<void(const QuotaDecided&)>>
+  std::unordered_map<std::uint64_t,
+                     std::function<void(const DeferredQuotaDecision&)>>
     mWaiting;
   /** Exchanges that wait for keepers' word, by the inquiry's tag. */
   std::unordered_map<std::uint64_t, AskingExchange> mAsking;
@@ -88,7 +89,7 @@
   std::unordered_map<std::uint64_t, std::function<void(routing::GateOutcome)>>
     mAtGate;
   /** Contents refused since the last report to the leader. */
-  std::set<ContentId> mCameAgain;
+  std::set<ContentId> mResubmittedContents;
   rollout::RolloutGate mRollouts;
 
   /** A keeper has answered. */
--- a/src/gateway/CommonClock.cpp
+++ b/src/gateway/MedianClock.cpp
@@ -1,4 +1,4 @@
-#include "peridotspool/gateway/CommonClock.h"
+#include "peridotspool/gateway/MedianClock.h"
 
 #include <algorithm>
 #include <vector>
@@ -7,22 +7,24 @@
 
 namespace {
 
-constexpr Duration kForgetAfter = std::chrono::seconds(5);
+constexpr Duration kMaxReadingAge = std::chrono::seconds(5);
 
 } // namespace
 
 void
-CommonClock::Take(std::uint64_t aProcess, std::int64_t aMicros, TimePoint aNow)
+MedianClock::RecordReading(std::uint64_t aProcess,
+                           std::int64_t aMicros,
+                           TimePoint aNow)
 {
   mReadings[aProcess] = { .mOffset = aMicros - aNow.time_since_epoch().count(),
-                          .mAt = aNow };
+                          .mReadAt = aNow };
   std::erase_if(mReadings, [&](const auto& aPair) {
-    return aNow - aPair.second.mAt > kForgetAfter;
+    return aNow - aPair.second.mReadAt > kMaxReadingAge;
   });
 }
 
 std::optional<std::int64_t>
-CommonClock::Micros(TimePoint aNow) const
+MedianClock::Micros(TimePoint aNow) const
 {
   std::vector<std::int64_t> offsets;
   for (const auto& [process, reading] : mReadings) {
@@ -31,10 +33,10 @@
   if (offsets.empty()) {
     return std::nullopt;
   }
-  const auto middle =
+  const auto median =
     offsets.begin() + static_cast<std::ptrdiff_t>((offsets.size() - 1) / 2);
-  std::nth_element(offsets.begin(), middle, offsets.end());
-  return *middle + aNow.time_since_epoch().count();
+  std::nth_element(offsets.begin(), median, offsets.end());
+  return *median + aNow.time_since_epoch().count();
 }
 
 } // namespace peridotspool::gateway
--- /dev/null
+++ b/src/gateway/QuotaClient.cpp
@@ -0,0 +1,307 @@
+#include "peridotspool/gateway/QuotaClient.h"
+
+#include "peridotspool/gateway/QuotaTiming.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace peridotspool::gateway {
+
+namespace {
+
+/** A request waits this long for the leader before the entry decides. */
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(800);
+/** A leader that is silent for longer is not waited for any more... */
+constexpr Duration kLeaderSilenceTimeout = std::chrono::milliseconds(400);
+/** ...but asked again this often. */
+constexpr Duration kProbePeriod = std::chrono::milliseconds(250);
+/** Stock for this much of an entry's use is asked for with each request. */
+constexpr double kPrefetchSeconds = 0.4;
+constexpr double kUsageRateSeconds = 2.0;
+constexpr std::size_t kMaxPending = 4096;
+constexpr std::size_t kMaxReturns = 1024;
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(200);
+/** A leader is likely to answer again by then. */
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
+
+} // namespace
+
+QuotaClient::Account&
+QuotaClient::RecordUsage(const Customer& aCustomer,
+                         double aUnits,
+                         TimePoint aNow)
+{
+  const auto [place, added] = mAccounts.try_emplace(aCustomer.mName);
+  Account& account = place->second;
+  if (added) {
+    account.mUsageRateAt = aNow;
+  }
+  const double decay =
+    std::exp(-ToSeconds(aNow - account.mUsageRateAt) / kUsageRateSeconds);
+  account.mUsageRate = account.mUsageRate * decay + aUnits / kUsageRateSeconds;
+  account.mUsageRateAt = aNow;
+  return account;
+}
+
+QuotaDecision
+QuotaClient::Acquire(const Customer& aCustomer, double aUnits, TimePoint aNow)
+{
+  if (aCustomer.mRatePerSecond <= 0.0) {
+    return {};
+  }
+  Account& account = RecordUsage(aCustomer, aUnits, aNow);
+  if (const auto expiresAt = account.mPrefetched.TryTake(aUnits, aNow)) {
+    return { .mReceipt = { .mSource = QuotaSource::kStock,
+                           .mExpiresAt = *expiresAt } };
+  }
+  if (AcquireFallback(aCustomer, aUnits, aNow)) {
+    return { .mReceipt = { .mSource = QuotaSource::kOwnPart } };
+  }
+  if (MustRefuse(aNow)) {
+    return { .mOutcome = QuotaOutcome::kRefused,
+             .mRetryAfter = RetryAfter(aCustomer, aUnits, aNow) };
+  }
+  return MakeRequest(aCustomer, aUnits, account.mUsageRate, aNow);
+}
+
+bool
+QuotaClient::MustRefuse(TimePoint aNow) const
+{
+  const bool isSilent = mSilentSince &&
+                        aNow - *mSilentSince >= kLeaderSilenceTimeout &&
+                        aNow - mProbedAt < kProbePeriod;
+  return isSilent || mPending.size() >= kMaxPending;
+}
+
+QuotaDecision
+QuotaClient::MakeRequest(const Customer& aCustomer,
+                         double aUnits,
+                         double aUsageRate,
+                         TimePoint aNow)
+{
+  mProbedAt = aNow;
+  QuotaDecision decision{ .mOutcome = QuotaOutcome::kPending };
+  decision.mRequest.mReturns = std::exchange(mReturns, {});
+  PendingItem pending{ .mCustomer = aCustomer,
+                       .mUnits = aUnits,
+                       .mRequestedAt = aNow };
+  AddItem(decision.mRequest, pending);
+  decision.mTag = mLastTag;
+  pending.mUnits = std::floor(aUsageRate * kPrefetchSeconds);
+  pending.mIsPrefetch = true;
+  if (pending.mUnits >= 1.0) {
+    AddItem(decision.mRequest, pending);
+  }
+  return decision;
+}
+
+void
+QuotaClient::AddItem(QuotaRequest& aRequest, const PendingItem& aItem)
+{
+  mPending.emplace(++mLastTag, aItem);
+  aRequest.mItems.push_back(
+    { .mCustomer = aItem.mCustomer.mName,
+      .mUnits = static_cast<std::uint64_t>(std::ceil(aItem.mUnits)),
+      .mTag = mLastTag,
+      .mIsPrefetch = aItem.mIsPrefetch });
+}
+
+QuotaRequest
+QuotaClient::PendingRequest() const
+{
+  QuotaRequest request;
+  for (const auto& [tag, pending] : mPending) {
+    if (!pending.mIsPrefetch) {
+      request.mItems.push_back(
+        { .mCustomer = pending.mCustomer.mName,
+          .mUnits = static_cast<std::uint64_t>(std::ceil(pending.mUnits)),
+          .mTag = tag });
+    }
+  }
+  return request;
+}
+
+// What nobody waits for any more goes back to the leader: kept here, it would
+// be used beside what the account has grown by meanwhile.
+std::vector<DeferredQuotaDecision>
+QuotaClient::HandleResponse(const QuotaResponse& aResponse)
+{
+  mSilentSince.reset();
+  std::vector<DeferredQuotaDecision> decisions;
+  for (const QuotaResponseItem& result : aResponse.mResults) {
+    const QuotaRequestItem& item = result.mItem;
+    const auto found = mPending.find(item.mTag);
+    const bool isPending = found != mPending.end();
+    if (isPending && !found->second.mIsPrefetch) {
+      decisions.push_back(
+        { .mTag = item.mTag,
+          .mGranted = result.mGranted,
+          .mRetryAfter = std::chrono::milliseconds(result.mRetryAfterMs),
+          .mReceipt = { .mSource = QuotaSource::kLeader,
+                        .mAllocatorId = aResponse.mAllocatorId,
+                        .mGrantedAt = aResponse.mGrantedAt } });
+    } else if (isPending && result.mGranted) {
+      mAccounts[item.mCustomer].mPrefetched.Add(
+        static_cast<double>(item.mUnits),
+        found->second.mRequestedAt + kPrefetchLifetime);
+    } else if (result.mGranted) {
+      mLateUnits += static_cast<double>(item.mUnits);
+      QueueReturn({ .mAllocatorId = aResponse.mAllocatorId,
+                    .mGrantedAt = aResponse.mGrantedAt,
+                    .mCustomer = item.mCustomer,
+                    .mUnits = item.mUnits });
+    }
+    if (isPending) {
+      mPending.erase(found);
+    }
+  }
+  return decisions;
+}
+
+std::vector<DeferredQuotaDecision>
+QuotaClient::Tick(TimePoint aNow)
+{
+  std::vector<DeferredQuotaDecision> decisions;
+  for (auto place = mPending.begin(); place != mPending.end();) {
+    const PendingItem& pending = place->second;
+    if (aNow - pending.mRequestedAt < kResponseTimeout) {
+      ++place;
+      continue;
+    }
+    mSilentSince = mSilentSince.value_or(aNow);
+    if (!pending.mIsPrefetch) {
+      const bool granted =
+        AcquireFallback(pending.mCustomer, pending.mUnits, aNow);
+      decisions.push_back(
+        { .mTag = place->first,
+          .mGranted = granted,
+          .mRetryAfter = RetryAfter(pending.mCustomer, pending.mUnits, aNow),
+          .mReceipt = { .mSource = QuotaSource::kOwnPart } });
+    }
+    place = mPending.erase(place);
+  }
+  return decisions;
+}
+
+// One of an earlier term was under way for long: its leader counts on nothing.
+bool
+QuotaClient::HandleLease(const QuotaLease& aLease, TimePoint aNow)
+{
+  const bool isNew = aLease.mAllocatorId != mLease.mAllocatorId;
+  if (aLease.mTerm < mLease.mTerm ||
+      (!isNew && aLease.mNumber <= mLease.mNumber)) {
+    return false;
+  }
+  mLease = aLease;
+  mLeaseEnd = aNow + kQuotaLeaseLength;
+  mFallbackBalances.clear();
+  return isNew;
+}
+
+bool
+QuotaClient::MayUseFallback(TimePoint aNow) const
+{
+  return mLease.mFallbackDivisor > 0 && aNow >= mLeaseEnd &&
+         aNow - mLeaseEnd < kFallbackDuration;
+}
+
+/** Returns null while a lease holds. */
+QuotaClient::FallbackBalance*
+QuotaClient::AccrueFallback(const Customer& aCustomer, TimePoint aNow)
+{
+  if (!MayUseFallback(aNow)) {
+    return nullptr;
+  }
+  const auto [place, added] = mFallbackBalances.try_emplace(
+    aCustomer.mName, FallbackBalance{ .mAccruedAt = mLeaseEnd });
+  FallbackBalance& balance = place->second;
+  const double rate = aCustomer.mRatePerSecond / mLease.mFallbackDivisor;
+  balance.mUnits =
+    std::min(balance.mUnits + rate * ToSeconds(aNow - balance.mAccruedAt),
+             rate * ToSeconds(kMaxFallbackAccrual));
+  balance.mAccruedAt = aNow;
+  return &balance;
+}
+
+bool
+QuotaClient::AcquireFallback(const Customer& aCustomer,
+                             double aUnits,
+                             TimePoint aNow)
+{
+  FallbackBalance* balance = AccrueFallback(aCustomer, aNow);
+  if (balance == nullptr || balance->mUnits < aUnits) {
+    return false;
+  }
+  balance->mUnits -= aUnits;
+  return true;
+}
+
+Duration
+QuotaClient::RetryAfter(const Customer& aCustomer,
+                        double aUnits,
+                        TimePoint aNow)
+{
+  const FallbackBalance* balance = AccrueFallback(aCustomer, aNow);
+  if (balance == nullptr) {
+    return kMinRetryAfter;
+  }
+  const double rate = aCustomer.mRatePerSecond / mLease.mFallbackDivisor;
+  const Duration wait(static_cast<Duration::rep>(
+    std::min((aUnits - balance->mUnits) / rate, ToSeconds(kMaxRetryAfter)) *
+    1e6));
+  return std::max(wait, kMinRetryAfter);
+}
+
+void
+QuotaClient::ReturnUnits(const Customer& aCustomer,
+                         double aUnits,
+                         const QuotaReceipt& aReceipt,
+                         TimePoint aNow)
+{
+  switch (aReceipt.mSource) {
+    case QuotaSource::kNone:
+      return;
+    case QuotaSource::kLeader:
+      QueueReturn({ .mAllocatorId = aReceipt.mAllocatorId,
+                    .mGrantedAt = aReceipt.mGrantedAt,
+                    .mCustomer = aCustomer.mName,
+                    .mUnits = static_cast<std::uint64_t>(aUnits) });
+      return;
+    case QuotaSource::kStock:
+      mAccounts[aCustomer.mName].mPrefetched.Add(aUnits, aReceipt.mExpiresAt);
+      return;
+    case QuotaSource::kOwnPart:
+      if (FallbackBalance* balance = AccrueFallback(aCustomer, aNow)) {
+        const double rate = aCustomer.mRatePerSecond / mLease.mFallbackDivisor;
+        balance->mUnits = std::min(balance->mUnits + aUnits,
+                                   rate * ToSeconds(kMaxFallbackAccrual));
+      }
+      return;
+  }
+}
+
+void
+QuotaClient::QueueReturn(const QuotaReturn& aReturn)
+{
+  if (mReturns.size() < kMaxReturns) {
+    mReturns.push_back(aReturn);
+  }
+}
+
+std::optional<QuotaRequest>
+QuotaClient::TakePendingReturns()
+{
+  if (mReturns.empty()) {
+    return std::nullopt;
+  }
+  return QuotaRequest{ .mItems = {}, .mReturns = std::exchange(mReturns, {}) };
+}
+
+void
+QuotaClient::Cancel(std::uint64_t aTag)
+{
+  mPending.erase(aTag);
+}
+
+} // namespace peridotspool::gateway
--- a/src/gateway/QuotaLeases.cpp
+++ b/src/gateway/QuotaLeases.cpp
@@ -10,20 +10,21 @@
 
 /** Own parts are left for entries that were removed and still serve: one for
  * each so many members, and at least some. */
-constexpr std::size_t kMembersEach = 8;
-constexpr std::size_t kLeastSpare = 3;
+constexpr std::size_t kMembersPerSpare = 8;
+constexpr std::size_t kMinSpares = 3;
 /** Leases that an entry may still confirm. */
-constexpr std::size_t kMostSent = 16;
+constexpr std::size_t kMaxSentLeases = 16;
 /** Clocks of two processes may run apart by this share of a lease. */
 constexpr Duration kClockMargin = kQuotaLeaseLength / 50;
-constexpr Duration kCover = kQuotaLeaseLength - kClockMargin;
+constexpr Duration kConfirmedLeaseLength = kQuotaLeaseLength - kClockMargin;
 /** After this long without cover an entry uses its own part no more. */
-constexpr Duration kUsesFor = kOwnPartFor + kQuotaLeaseLength + kClockMargin;
+constexpr Duration kMaxFallbackTime =
+  kFallbackDuration + kQuotaLeaseLength + kClockMargin;
 
 } // namespace
 
-QuotaLeases::QuotaLeases(std::uint64_t aGrantor, std::uint64_t aTerm)
-  : mGrantor(aGrantor)
+QuotaLeases::QuotaLeases(std::uint64_t aAllocatorId, std::uint64_t aTerm)
+  : mAllocatorId(aAllocatorId)
   , mTerm(aTerm)
 {
 }
@@ -31,22 +32,22 @@
 // A member that this leader has not heard yet may hold an older leader's lease
 // that has ended.
 void
-QuotaLeases::UseEntries(const std::vector<Address>& aEntries, TimePoint aNow)
+QuotaLeases::SetEntries(const std::vector<Address>& aEntries, TimePoint aNow)
 {
-  mMembers = aEntries.size();
-  mParts = static_cast<std::uint32_t>(
-    mMembers + std::max(kLeastSpare, mMembers / kMembersEach));
-  for (auto& [address, holder] : mHolders) {
-    holder.mMember = false;
+  mMemberCount = aEntries.size();
+  mFallbackDivisor = static_cast<std::uint32_t>(
+    mMemberCount + std::max(kMinSpares, mMemberCount / kMembersPerSpare));
+  for (auto& [address, state] : mEntries) {
+    state.mIsMember = false;
   }
   for (const Address& address : aEntries) {
-    const auto [place, added] = mHolders.try_emplace(address);
-    Holder& holder = place->second;
-    holder.mMember = true;
+    const auto [place, added] = mEntries.try_emplace(address);
+    EntryState& state = place->second;
+    state.mIsMember = true;
     if (added) {
-      holder.mMayUse = true;
-      holder.mCoveredUntil = aNow - kOwnPartSaved;
-      holder.mLeastParts = mParts;
+      state.mMayUseFallback = true;
+      state.mLeasedUntil = aNow - kMaxFallbackAccrual;
+      state.mMinFallbackDivisor = mFallbackDivisor;
     }
   }
 }
@@ -56,81 +57,85 @@
                    const QuotaLease& aHeld,
                    TimePoint aNow)
 {
-  const auto [place, added] = mHolders.try_emplace(aEntry);
-  Holder& holder = place->second;
+  const auto [place, added] = mEntries.try_emplace(aEntry);
+  EntryState& state = place->second;
   if (added) {
-    holder.mCoveredUntil = aNow - kOwnPartSaved;
-    holder.mLeastParts = mParts;
+    state.mLeasedUntil = aNow - kMaxFallbackAccrual;
+    state.mMinFallbackDivisor = mFallbackDivisor;
   }
-  holder.mMayUse = holder.mMayUse || aHeld.mNumber != 0;
-  Confirm(holder, aHeld);
-  const QuotaLease lease{ .mGrantor = mGrantor,
+  state.mMayUseFallback = state.mMayUseFallback || aHeld.mNumber != 0;
+  Confirm(state, aHeld);
+  const QuotaLease lease{ .mAllocatorId = mAllocatorId,
                           .mTerm = mTerm,
                           .mNumber = ++mLastNumber,
-                          .mParts = mParts };
-  holder.mSent.push_back(
-    { .mNumber = lease.mNumber, .mAt = aNow, .mParts = lease.mParts });
-  holder.mLeastParts = std::min(holder.mLeastParts, lease.mParts);
-  if (holder.mSent.size() > kMostSent) {
-    holder.mSent.pop_front();
+                          .mFallbackDivisor = mFallbackDivisor };
+  state.mSentLeases.push_back({ .mNumber = lease.mNumber,
+                                .mSentAt = aNow,
+                                .mFallbackDivisor = lease.mFallbackDivisor });
+  state.mMinFallbackDivisor =
+    std::min(state.mMinFallbackDivisor, lease.mFallbackDivisor);
+  if (state.mSentLeases.size() > kMaxSentLeases) {
+    state.mSentLeases.pop_front();
   }
   return lease;
 }
 
 bool
-QuotaLeases::Covers(const Address& aEntry, TimePoint aNow) const
+QuotaLeases::IsLeased(const Address& aEntry, TimePoint aNow) const
 {
-  const auto found = mHolders.find(aEntry);
-  return found != mHolders.end() && aNow < found->second.mCoveredUntil;
+  const auto found = mEntries.find(aEntry);
+  return found != mEntries.end() && aNow < found->second.mLeasedUntil;
 }
 
 // The entry took the lease after it was sent: its own count of the lease's
 // length ends later than one from the sending.
 void
-QuotaLeases::Confirm(Holder& aHolder, const QuotaLease& aHeld)
+QuotaLeases::Confirm(EntryState& aState, const QuotaLease& aHeld)
 {
-  if (aHeld.mGrantor != mGrantor) {
+  if (aHeld.mAllocatorId != mAllocatorId) {
     return;
   }
-  auto& sent = aHolder.mSent;
+  auto& sent = aState.mSentLeases;
   while (!sent.empty() && sent.front().mNumber < aHeld.mNumber) {
     sent.pop_front();
   }
   if (sent.empty() || sent.front().mNumber != aHeld.mNumber) {
     return;
   }
-  aHolder.mCoveredUntil =
-    std::max(aHolder.mCoveredUntil, sent.front().mAt + kCover);
-  aHolder.mLeastParts =
+  aState.mLeasedUntil =
+    std::max(aState.mLeasedUntil, sent.front().mSentAt + kConfirmedLeaseLength);
+  aState.mMinFallbackDivisor =
     std::min_element(sent.begin(),
                      sent.end(),
-                     [](const Sent& aOne, const Sent& aOther) {
-                       return aOne.mParts < aOther.mParts;
+                     [](const SentLease& aOne, const SentLease& aOther) {
+                       return aOne.mFallbackDivisor < aOther.mFallbackDivisor;
                      })
-      ->mParts;
+      ->mFallbackDivisor;
 }
 
 void
 QuotaLeases::Advance(TimePoint aNow)
 {
-  mOwnPart = 0.0;
-  mOwnSaved = 0.0;
-  mUncovered = 0;
-  std::erase_if(mHolders, [&](const auto& aPair) {
-    const Holder& holder = aPair.second;
-    return !holder.mMember && aNow - holder.mCoveredUntil > kUsesFor;
+  mFallbackShare = 0.0;
+  mFallbackAccrual = 0.0;
+  mUnleasedEntries = 0;
+  std::erase_if(mEntries, [&](const auto& aPair) {
+    const EntryState& state = aPair.second;
+    return !state.mIsMember && aNow - state.mLeasedUntil > kMaxFallbackTime;
   });
-  for (const auto& [address, holder] : mHolders) {
-    const Duration uncovered = aNow - holder.mCoveredUntil;
-    if (!holder.mMayUse || uncovered <= Duration(0) || uncovered > kUsesFor) {
+  for (const auto& [address, state] : mEntries) {
+    const Duration unleasedFor = aNow - state.mLeasedUntil;
+    if (!state.mMayUseFallback || unleasedFor <= Duration(0) ||
+        unleasedFor > kMaxFallbackTime) {
       continue;
     }
-    const double part = 1.0 / holder.mLeastParts;
-    mOwnPart += part;
-    mOwnSaved += part * ToSeconds(std::min(uncovered, kOwnPartSaved));
-    ++mUncovered;
+    const double share = 1.0 / state.mMinFallbackDivisor;
+    mFallbackShare += share;
+    mFallbackAccrual +=
+      share * ToSeconds(std::min(unleasedFor, kMaxFallbackAccrual));
+    ++mUnleasedEntries;
   }
-  mOwnPart = std::min(1.0, mOwnPart);
+  mFallbackShare = std::min(1.0, mFallbackShare);
 }
 
 } // namespace peridotspool::gateway
--- /dev/null
+++ b/src/gateway/ServiceRetryBudget.cpp
@@ -0,0 +1,73 @@
+#include "peridotspool/gateway/ServiceRetryBudget.h"
+
+#include <algorithm>
+
+namespace peridotspool::gateway {
+
+namespace {
+
+/** A part is kept back: windows slide, and slices don't begin with them. */
+constexpr double kUsableFraction = 0.8;
+/** A process that has just started may have repeated in an earlier life: it has
+ * this part of what its requests allow, and nothing of the extra, which with
+ * the used part stays within the bound. */
+constexpr double kStartupFraction = 0.25;
+
+} // namespace
+
+ServiceRetryBudget::ServiceRetryBudget(ServiceRetryBudgetOptions aOptions)
+  : mOptions(aOptions)
+{
+}
+
+void
+ServiceRetryBudget::SetEntryCount(std::size_t aEntries)
+{
+  mOptions.mEntryCount = std::max<std::size_t>(1, aEntries);
+}
+
+ServiceRetryBudget::Slice&
+ServiceRetryBudget::CurrentSlice(const ServiceName& aService, TimePoint aNow)
+{
+  const Duration length = mOptions.mWindow / kWindowSlices;
+  const std::int64_t number = aNow.time_since_epoch() / length;
+  Slice& slice = mSlices[aService][static_cast<std::size_t>(number) % kSlices];
+  if (slice.mNumber != number) {
+    slice = Slice{ .mNumber = number };
+  }
+  return slice;
+}
+
+void
+ServiceRetryBudget::RecordRequest(const ServiceName& aService, TimePoint aNow)
+{
+  ++CurrentSlice(aService, aNow).mRequests;
+}
+
+bool
+ServiceRetryBudget::TryAcquireRetry(const ServiceName& aService, TimePoint aNow)
+{
+  Slice& current = CurrentSlice(aService, aNow);
+  const std::int64_t oldest =
+    current.mNumber - static_cast<std::int64_t>(kSlices);
+  double requests = 0.0;
+  double retries = 0.0;
+  for (const Slice& slice : mSlices.at(aService)) {
+    if (slice.mNumber > oldest) {
+      requests += slice.mRequests;
+      retries += slice.mRetries;
+    }
+  }
+  const bool isStarting = aNow - mOptions.mStartedAt < mOptions.mWindow;
+  const double extra = isStarting ? 0.0
+                                  : mOptions.mFixedAllowance /
+                                      static_cast<double>(mOptions.mEntryCount);
+  const double ratio = mOptions.mRatio * (isStarting ? kStartupFraction : 1.0);
+  if (retries + 1.0 > kUsableFraction * (ratio * requests + extra)) {
+    return false;
+  }
+  ++current.mRetries;
+  return true;
+}
+
+} // namespace peridotspool::gateway
--- a/src/gateway/UsageTally.cpp
+++ b/src/gateway/UsageCounter.cpp
@@ -1,33 +1,34 @@
-#include "peridotspool/gateway/UsageTally.h"
+#include "peridotspool/gateway/UsageCounter.h"
 
 namespace peridotspool::gateway {
 
 namespace {
 
 /** Windows reported: a new leader counts what an earlier one did not report. */
-constexpr std::size_t kMostWindows = 5;
+constexpr std::size_t kMaxWindows = 5;
 
 } // namespace
 
-UsageTally::UsageTally(Duration aWindow, std::uint64_t aLife)
+UsageCounter::UsageCounter(Duration aWindow, std::uint64_t aIncarnation)
   : mWindow(aWindow)
-  , mLife(aLife)
+  , mIncarnation(aIncarnation)
 {
 }
 
 void
-UsageTally::TakeTime(std::int64_t aMicros, TimePoint aNow)
+UsageCounter::SetMedianTime(std::int64_t aMicros, TimePoint aNow)
 {
-  mOffset = aMicros - aNow.time_since_epoch().count();
+  mMedianOffset = aMicros - aNow.time_since_epoch().count();
 }
 
 void
-UsageTally::Count(const CustomerName& aCustomer,
-                  std::int64_t aWallMicros,
-                  TimePoint aNow)
+UsageCounter::Count(const CustomerName& aCustomer,
+                    std::int64_t aWallMicros,
+                    TimePoint aNow)
 {
   const std::int64_t micros =
-    mOffset ? aNow.time_since_epoch().count() + *mOffset : aWallMicros;
+    mMedianOffset ? aNow.time_since_epoch().count() + *mMedianOffset
+                  : aWallMicros;
   if (micros < 0) {
     return;
   }
@@ -36,15 +37,15 @@
   UsageWindow& window = mWindows[number];
   window.mNumber = number;
   ++window.mCounts[aCustomer];
-  while (mWindows.size() > kMostWindows) {
+  while (mWindows.size() > kMaxWindows) {
     mWindows.erase(mWindows.begin());
   }
 }
 
 UsageReport
-UsageTally::Report(std::int64_t aWallMicros) const
+UsageCounter::Report(std::int64_t aWallMicros) const
 {
-  UsageReport report{ .mLife = mLife,
+  UsageReport report{ .mEntryIncarnation = mIncarnation,
                       .mWallMicros = aWallMicros,
                       .mWindows = {} };
   for (const auto& [number, window] : mWindows) {
--- a/src/runtime/ControlDecider.cpp
+++ b/src/runtime/ControlDecider.cpp
@@ -75,7 +75,7 @@
         mLastCall = mLastCall.Next();
         Step(control::OperatorEvent{ mLastCall, std::move(aRequest) });
       },
-      [this](const Address& aTo, gateway::SharedMessage aMessage) {
+      [this](const Address& aTo, gateway::PeerMessage aMessage) {
         SendPeer(aTo, std::move(aMessage));
       });
   }
@@ -298,7 +298,7 @@
 
 void
 ControlDecider::TakeShared(const Address& aFrom,
-                           const gateway::SharedMessage& aMessage)
+                           const gateway::PeerMessage& aMessage)
 {
   if (!mDuties) {
     return;
@@ -340,8 +340,7 @@
   } else if (const auto* registry =
                std::get_if<membership::RegistryMessage>(&payload)) {
     TakeRegistry(aInput.mEnvelope.mFrom, *registry);
-  } else if (const auto* shared =
-               std::get_if<gateway::SharedMessage>(&payload)) {
+  } else if (const auto* shared = std::get_if<gateway::PeerMessage>(&payload)) {
     TakeShared(aInput.mEnvelope.mFrom, *shared);
   }
 }
--- a/src/runtime/ControlDecider.h
+++ b/src/runtime/ControlDecider.h
@@ -61,7 +61,7 @@
   void TakeRegistry(const Address& aFrom,
                     const membership::RegistryMessage& aMessage);
   void PullRegistries();
-  void TakeShared(const Address& aFrom, const gateway::SharedMessage& aMessage);
+  void TakeShared(const Address& aFrom, const gateway::PeerMessage& aMessage);
   void SendAll(std::vector<membership::RegistrySend> aSends);
 
   void Step(const control::ControlEvent& aEvent);
--- a/src/runtime/DutyRunner.cpp
+++ b/src/runtime/DutyRunner.cpp
@@ -73,7 +73,7 @@
 
 void
 DutyRunner::Take(const Address& aFrom,
-                 const gateway::SharedMessage& aMessage,
+                 const gateway::PeerMessage& aMessage,
                  const control::ControlNode& aNode,
                  TimePoint aNow)
 {
@@ -87,38 +87,39 @@
   mHeard[aFrom].mAt = aNow;
   const routing::QuarantineTable& table = aNode.State().mQuarantine;
   std::visit(
-    Overloaded{
-      [&](const gateway::UsageReport& aReport) {
-        TakeReport(aFrom, aReport, aNode, aNow);
-      },
-      [&](const gateway::QuotaAsk& aAsk) { TakeAsk(aFrom, aAsk, aNode, aNow); },
-      [&](const routing::CrashReport& aReport) {
-        mTell(aFrom, mQuarantine.Take(aFrom, aReport, table, aNow));
-      },
-      [&](const routing::TurnAsk& aAsk) {
-        mTell(aFrom, mQuarantine.Take(aFrom, aAsk, table, aNow));
-      },
-      [&](const rollout::RolloutReport& aReport) {
-        TakeReport(aFrom, aReport, aNode, aNow);
-      },
-      [&](const routing::TurnEnded& aEnded) {
-        mQuarantine.Take(aFrom, aEnded, aNow);
-      },
-      [](const auto&) {} },
+    Overloaded{ [&](const gateway::UsageReport& aReport) {
+                 TakeReport(aFrom, aReport, aNode, aNow);
+               },
+                [&](const gateway::QuotaRequest& aAsk) {
+                  TakeAsk(aFrom, aAsk, aNode, aNow);
+                },
+                [&](const routing::CrashReport& aReport) {
+                  mTell(aFrom, mQuarantine.Take(aFrom, aReport, table, aNow));
+                },
+                [&](const routing::TurnAsk& aAsk) {
+                  mTell(aFrom, mQuarantine.Take(aFrom, aAsk, table, aNow));
+                },
+                [&](const rollout::RolloutReport& aReport) {
+                  TakeReport(aFrom, aReport, aNode, aNow);
+                },
+                [&](const routing::TurnEnded& aEnded) {
+                  mQuarantine.Take(aFrom, aEnded, aNow);
+                },
+                [](const auto&) {} },
     aMessage);
 }
 
 void
 DutyRunner::TakeAsk(const Address& aFrom,
-                    const gateway::QuotaAsk& aAsk,
+                    const gateway::QuotaRequest& aAsk,
                     const control::ControlNode& aNode,
                     TimePoint aNow)
 {
-  if (mBank.TakeCommitted(aNode.State().mQuotaFloors)) {
+  if (mBank.ApplyCommittedFloors(aNode.State().mQuotaFloors)) {
     AnswerHeld(aNow);
   }
-  gateway::QuotaGrant grant = mBank.Ask(aFrom, aAsk, aNow);
-  if (!grant.mVerdicts.empty()) {
+  gateway::QuotaResponse grant = mBank.HandleRequest(aFrom, aAsk, aNow);
+  if (!grant.mResults.empty()) {
     mTell(aFrom, std::move(grant));
   }
   ProposeFloors(aNow);
@@ -127,15 +128,16 @@
 void
 DutyRunner::AnswerHeld(TimePoint aNow)
 {
-  for (gateway::QuotaAnswerTo& answer : mBank.TakeAnswered(aNow)) {
-    mTell(answer.mTo, std::move(answer.mGrant));
+  for (gateway::AddressedQuotaResponse& answer :
+       mBank.TakeDeferredResponses(aNow)) {
+    mTell(answer.mTo, std::move(answer.mResponse));
   }
 }
 
 void
 DutyRunner::ProposeFloors(TimePoint aNow)
 {
-  if (auto floors = mBank.Due(aNow)) {
+  if (auto floors = mBank.ProposeFloors(aNow)) {
     mPropose(control::QuotaFloorsRequest{ std::move(*floors) });
   }
 }
@@ -147,9 +149,9 @@
                        TimePoint aNow)
 {
   if (const auto micros = mDesk.CommonMicros(aNow)) {
-    mTell(aFrom, gateway::CommonTime{ *micros });
+    mTell(aFrom, gateway::MedianTime{ *micros });
   }
-  for (const ContentId& content : aReport.mCameAgain) {
+  for (const ContentId& content : aReport.mResubmittedContents) {
     mQuarantine.CameAgain(content, aNow);
   }
   if (mBank.HasLimits()) {
@@ -157,7 +159,7 @@
   }
   Heard& heard = mHeard[aFrom];
   heard.mQuarantine = aReport.mQuarantine;
-  heard.mLife = aReport.mLife;
+  heard.mLife = aReport.mEntryIncarnation;
   TellQuarantine(aFrom, heard, aNode.State().mQuarantine);
   if (aReport.mRollouts != aNode.State().mRollouts.mNumber) {
     TellRollouts(aFrom, heard, aNode);
@@ -230,11 +232,11 @@
     mLed = true;
     mRevision = Revision();
     mEpoch = EpochNumber();
-    mBank = gateway::QuotaBank(mOptions.mQuota,
-                               RandomNumber(),
-                               aNode.CurrentTerm().Value(),
-                               aNode.State().mQuotaFloors,
-                               aNow);
+    mBank = gateway::QuotaAllocator(mOptions.mQuota,
+                                    RandomNumber(),
+                                    aNode.CurrentTerm().Value(),
+                                    aNode.State().mQuotaFloors,
+                                    aNow);
     mQuarantine = routing::QuarantineBank(aNode.State().mQuarantine, aNow);
     mRollouts = rollout::RolloutController(mOptions.mRollout);
     mHeard.clear();
@@ -246,7 +248,7 @@
     for (const membership::Member& member : members.mMembers) {
       entries.push_back(member.mPeerAddress);
     }
-    mBank.UseEntries(entries, aNow);
+    mBank.SetEntries(entries, aNow);
   }
   if (settings.mRevision == mRevision || !mDialect.mReadDocument) {
     return;
@@ -257,7 +259,7 @@
   const auto text = UnpackText(settings.mText);
   mTable = text ? mDialect.mReadDocument(*text, reason) : std::nullopt;
   if (mTable) {
-    mBank.Use(mTable->Source().mCustomers, aNow);
+    mBank.SetCustomers(mTable->Source().mCustomers, aNow);
     if (begins) {
       OfferLeases(aNode, aNow);
       mLogger.Log(observe::EventId::kLimitAccountsBegun,
@@ -288,14 +290,14 @@
     return;
   }
   mLimitsLoggedAt = aNow;
-  for (const gateway::QuotaFigures& one : mBank.TakeFigures()) {
+  for (const gateway::QuotaStatistics& one : mBank.TakeStatistics()) {
     mLogger.Log(observe::EventId::kLimitAccount,
                 { { "customer", one.mCustomer },
                   { "granted", one.mGranted },
-                  { "stock", one.mStock },
+                  { "stock", one.mPrefetched },
                   { "refused", one.mRefused },
                   { "balance", one.mBalance },
-                  { "most", one.mMost } });
+                  { "most", one.mMaxBalance } });
   }
 }
 
@@ -310,15 +312,15 @@
 void
 DutyRunner::KeepLimits(const control::ControlNode& aNode, TimePoint aNow)
 {
-  mBank.TakeCommitted(aNode.State().mQuotaFloors);
+  mBank.ApplyCommittedFloors(aNode.State().mQuotaFloors);
   AnswerHeld(aNow);
   ProposeFloors(aNow);
-  const std::size_t uncovered = mBank.Leases().Uncovered();
+  const std::size_t uncovered = mBank.Leases().UnleasedEntries();
   if (uncovered != mUncovered) {
     mUncovered = uncovered;
     mLogger.Log(observe::EventId::kLimitFlow,
-                { { "part", mBank.FlowPart() },
-                  { "entries", mBank.Leases().Entries() },
+                { { "part", mBank.LeaderShare() },
+                  { "entries", mBank.Leases().MemberCount() },
                   { "uncovered", uncovered } });
   }
   LogLimits(aNow);
--- a/src/runtime/DutyRunner.h
+++ b/src/runtime/DutyRunner.h
@@ -2,7 +2,7 @@
 
 #include "peridotspool/control/ControlNode.h"
 #include "peridotspool/fleet/DutyDesk.h"
-#include "peridotspool/gateway/QuotaBank.h"
+#include "peridotspool/gateway/QuotaAllocator.h"
 #include "peridotspool/http/HttpClient.h"
 #include "peridotspool/membership/UpstreamDirectory.h"
 #include "peridotspool/observe/Logger.h"
@@ -34,7 +34,7 @@
 public:
   using TakeCloud = std::function<void(CloudInput)>;
   using Propose = std::function<void(control::OperatorRequest)>;
-  using Tell = std::function<void(const Address&, gateway::SharedMessage)>;
+  using Tell = std::function<void(const Address&, gateway::PeerMessage)>;
 
   DutyRunner(const DutyHostOptions& aOptions,
              const ControlDialect& aDialect,
@@ -45,7 +45,7 @@
 
   /** Takes what an entry says, and answers it where this replica leads. */
   void Take(const Address& aFrom,
-            const gateway::SharedMessage& aMessage,
+            const gateway::PeerMessage& aMessage,
             const control::ControlNode& aNode,
             TimePoint aNow);
   void TakePush(const Address& aFrom,
@@ -96,7 +96,7 @@
   void OfferLeases(const control::ControlNode& aNode, TimePoint aNow);
   void LogLimits(TimePoint aNow);
   void TakeAsk(const Address& aFrom,
-               const gateway::QuotaAsk& aAsk,
+               const gateway::QuotaRequest& aAsk,
                const control::ControlNode& aNode,
                TimePoint aNow);
   void AnswerHeld(TimePoint aNow);
@@ -115,7 +115,7 @@
   Propose mPropose;
   Tell mTell;
   fleet::DutyDesk mDesk;
-  gateway::QuotaBank mBank;
+  gateway::QuotaAllocator mBank;
   routing::QuarantineBank mQuarantine;
   rollout::RolloutController mRollouts;
   /** The last start or end of a rollout that all entries were told of. */
--- a/src/runtime/EntryDecider.cpp
+++ b/src/runtime/EntryDecider.cpp
@@ -130,7 +130,7 @@
 
 void
 EntryDecider::OnPayload(const Address& /*aFrom*/,
-                        const gateway::SharedMessage& /*aOne*/)
+                        const gateway::PeerMessage& /*aOne*/)
 {
   // This kind of entry shares limits in its own way.
 }
--- a/src/runtime/EntryDecider.h
+++ b/src/runtime/EntryDecider.h
@@ -79,7 +79,7 @@
   void OnPayload(const Address& aFrom, const wire::ToEntryEnvelope& aOne);
   void OnPayload(const Address& aFrom, const wire::MemberEnvelope& aOne);
   void OnPayload(const Address& aFrom, const membership::RegistryMessage& aOne);
-  void OnPayload(const Address& aFrom, const gateway::SharedMessage& aOne);
+  void OnPayload(const Address& aFrom, const gateway::PeerMessage& aOne);
 
   void Step(const request::EntryNodeEvent& aEvent);
   void Carry(const request::ToControlReplicaEffect& aEffect);
--- a/src/runtime/GatewayRelay.cpp
+++ b/src/runtime/GatewayRelay.cpp
@@ -111,21 +111,21 @@
     .mIo = mIo,
     .mNames = mDialect.mNames,
     .mBoard = gateway::UpstreamBoard({ .mDomain = mSettings.mDomain }),
-    .mBudget =
-      gateway::RepeatBudget({ .mRatio = mSettings.mShared.mRetryRatio,
-                              .mExtra = mSettings.mShared.mRetryExtra,
-                              .mWindow = mSettings.mShared.mRetryWindow,
-                              .mEntries = 32,
-                              .mStartedAt = ReadClock() }),
+    .mBudget = gateway::ServiceRetryBudget(
+      { .mRatio = mSettings.mShared.mRetryRatio,
+        .mFixedAllowance = mSettings.mShared.mRetryExtra,
+        .mWindow = mSettings.mShared.mRetryWindow,
+        .mEntryCount = 32,
+        .mStartedAt = ReadClock() }),
     .mPool = {},
     .mLogger = *mLogger,
     .mCounters = mCounters,
     .mNow = ReadClock,
     .mQuota = {},
     .mUsage =
-      gateway::UsageTally(mSettings.mDuties.mUsageWindow, RandomNumber()),
+      gateway::UsageCounter(mSettings.mDuties.mUsageWindow, RandomNumber()),
     .mTellLeader =
-      [this](gateway::SharedMessage aMessage) {
+      [this](gateway::PeerMessage aMessage) {
         if (mLeader) {
           SendPeer(*mLeader, std::move(aMessage));
         }
@@ -134,7 +134,7 @@
     .mKeeper = {},
     .mInquiries = {},
     .mTellEntry =
-      [this](const Address& aTo, gateway::SharedMessage aMessage) {
+      [this](const Address& aTo, gateway::PeerMessage aMessage) {
         TellEntry(aTo, std::move(aMessage));
       },
     .mLastSend = RandomNumber(),
@@ -180,7 +180,7 @@
   Step(membership::SessionTickEvent{});
   PullUpstreams(now);
   Decide(mCore->mQuota.Tick(now));
-  if (auto returns = mCore->mQuota.TakeReturns()) {
+  if (auto returns = mCore->mQuota.TakePendingReturns()) {
     mCore->mTellLeader(std::move(*returns));
   }
   mCounters.Set(observe::CounterId::kLimitUnitsLate,
@@ -238,12 +238,12 @@
   report.mQuarantine = mCore->mGate.Known();
   report.mRollouts = mCore->mRollouts.Number();
   report.mQuotaLease = mCore->mQuota.Lease();
-  const auto again = std::exchange(mCore->mCameAgain, {});
-  report.mCameAgain.assign(again.begin(), again.end());
+  const auto again = std::exchange(mCore->mResubmittedContents, {});
+  report.mResubmittedContents.assign(again.begin(), again.end());
   for (const Address& control : mSession->Voters()) {
     if (toAll || !mLeader || *mLeader == control) {
-      SendPeer(control, gateway::SharedMessage(report));
-      ReportRollouts(control, report.mLife, aNow);
+      SendPeer(control, gateway::PeerMessage(report));
+      ReportRollouts(control, report.mEntryIncarnation, aNow);
     }
   }
 }
@@ -262,11 +262,11 @@
   };
   SendPeer(
     aTo,
-    gateway::SharedMessage(mCore->mRollouts.Report(aLife, oldRunning, aNow)));
+    gateway::PeerMessage(mCore->mRollouts.Report(aLife, oldRunning, aNow)));
 }
 
 void
-GatewayRelay::TellEntry(const Address& aTo, gateway::SharedMessage aMessage)
+GatewayRelay::TellEntry(const Address& aTo, gateway::PeerMessage aMessage)
 {
   if (aTo == mSettings.mListen.mPeer) {
     TakeShared(aTo, aMessage);
--- a/src/runtime/GatewayRelay.h
+++ b/src/runtime/GatewayRelay.h
@@ -44,8 +44,8 @@
   void NoteLeader(const Address& aFrom,
                   const membership::ToEntryMessage& aMessage);
   void MeetLeader(const Address& aLeader);
-  void TakeShared(const Address& aFrom, const gateway::SharedMessage& aMessage);
-  void Decide(const std::vector<gateway::QuotaDecided>& aDecided);
+  void TakeShared(const Address& aFrom, const gateway::PeerMessage& aMessage);
+  void Decide(const std::vector<gateway::DeferredQuotaDecision>& aDecided);
   void SendPull(const Address& aTo);
   void SendPeer(const Address& aTo, wire::PeerPayload aPayload);
   void Step(const membership::ControlSessionEvent& aEvent);
@@ -59,7 +59,7 @@
   void PullUpstreams(TimePoint aNow);
   void ReportUsage(TimePoint aNow);
   void ReportRollouts(const Address& aTo, std::uint64_t aLife, TimePoint aNow);
-  void TellEntry(const Address& aTo, gateway::SharedMessage aMessage);
+  void TellEntry(const Address& aTo, gateway::PeerMessage aMessage);
   void NoteLostLeader(TimePoint aNow);
   void BeginStop();
   bool GoOnStopping(TimePoint aNow);
--- a/src/runtime/GatewayRelaySession.cpp
+++ b/src/runtime/GatewayRelaySession.cpp
@@ -73,7 +73,7 @@
       TakePush(aEnvelope.mFrom, *push);
     }
   } else if (const auto* shared =
-               std::get_if<gateway::SharedMessage>(&aEnvelope.mPayload)) {
+               std::get_if<gateway::PeerMessage>(&aEnvelope.mPayload)) {
     TakeShared(aEnvelope.mFrom, *shared);
   }
 }
@@ -119,7 +119,7 @@
   mLeader = aLeader;
   mLeaderHeardAt = ReadClock();
   mCore->mCrashes.MeetLeader();
-  if (auto again = mCore->mQuota.AskAgain(); !again.mLines.empty()) {
+  if (auto again = mCore->mQuota.PendingRequest(); !again.mItems.empty()) {
     mCore->mTellLeader(std::move(again));
   }
   mReportedAt = TimePoint();
@@ -128,21 +128,21 @@
 
 void
 GatewayRelay::TakeShared(const Address& aFrom,
-                         const gateway::SharedMessage& aMessage)
+                         const gateway::PeerMessage& aMessage)
 {
   const TimePoint now = ReadClock();
   std::visit(
     Overloaded{
-      [&](const gateway::QuotaGrant& aGrant) {
-        Decide(mCore->mQuota.TakeGrant(aGrant));
+      [&](const gateway::QuotaResponse& aGrant) {
+        Decide(mCore->mQuota.HandleResponse(aGrant));
       },
       [&](const gateway::QuotaLease& aLease) {
-        if (mCore->mQuota.TakeLease(aLease, now)) {
+        if (mCore->mQuota.HandleLease(aLease, now)) {
           MeetLeader(aFrom);
         }
       },
-      [&](const gateway::CommonTime& aTime) {
-        mCore->mUsage.TakeTime(aTime.mMicros, now);
+      [&](const gateway::MedianTime& aTime) {
+        mCore->mUsage.SetMedianTime(aTime.mMicros, now);
       },
       [&](const gateway::LoadAsk& aAsk) {
         TellEntry(aFrom, mCore->mKeeper.Answer(aAsk, now));
@@ -161,9 +161,10 @@
 }
 
 void
-GatewayRelay::Decide(const std::vector<gateway::QuotaDecided>& aDecided)
+GatewayRelay::Decide(
+  const std::vector<gateway::DeferredQuotaDecision>& aDecided)
 {
-  for (const gateway::QuotaDecided& one : aDecided) {
+  for (const gateway::DeferredQuotaDecision& one : aDecided) {
     const auto waiting = mCore->mWaiting.find(one.mTag);
     if (waiting != mCore->mWaiting.end()) {
       const auto call = std::move(waiting->second);
@@ -265,7 +266,7 @@
     }
   }
   mCore->mKeepers.Use(std::move(keepers));
-  mCore->mBudget.UseEntries(members + kUnknownEntries);
+  mCore->mBudget.SetEntryCount(members + kUnknownEntries);
   mCounters.Set(observe::CounterId::kMembersKnown, members);
   mLogger->Log(EventId::kEpochChanged,
                { { "epoch", aEffect.mMap.mEpoch }, { "members", members } });
--- a/src/runtime/PeerTally.cpp
+++ b/src/runtime/PeerTally.cpp
@@ -18,7 +18,7 @@
 };
 
 PurposeCounters
-CountersOf(const gateway::SharedMessage& aMessage)
+CountersOf(const gateway::PeerMessage& aMessage)
 {
   const PurposeCounters limits{ CounterId::kSentBytesLimits,
                                 CounterId::kSentMessagesLimits };
@@ -31,11 +31,11 @@
   const PurposeCounters rollout{ CounterId::kSentBytesRollout,
                                  CounterId::kSentMessagesRollout };
   return std::visit(
-    Overloaded{ [&](const gateway::QuotaAsk&) { return limits; },
-                [&](const gateway::QuotaGrant&) { return limits; },
+    Overloaded{ [&](const gateway::QuotaRequest&) { return limits; },
+                [&](const gateway::QuotaResponse&) { return limits; },
                 [&](const gateway::QuotaLease&) { return limits; },
                 [&](const gateway::UsageReport&) { return usage; },
-                [&](const gateway::CommonTime&) { return usage; },
+                [&](const gateway::MedianTime&) { return usage; },
                 [&](const routing::CrashReport&) { return quarantine; },
                 [&](const routing::CrashTaken&) { return quarantine; },
                 [&](const routing::TurnAsk&) { return quarantine; },
@@ -54,23 +54,22 @@
   const PurposeCounters session{ CounterId::kSentBytesSession,
                                  CounterId::kSentMessagesSession };
   return std::visit(
-    Overloaded{ [](const control::ReplicaEnvelope&) {
-                 return PurposeCounters{ CounterId::kSentBytesReplication,
-                                         CounterId::kSentMessagesReplication };
-               },
-                [&](const membership::EntryEnvelope&) { return session; },
-                [&](const wire::ToEntryEnvelope&) { return session; },
-                [](const wire::MemberEnvelope&) {
-                  return PurposeCounters{ CounterId::kSentBytesLedger,
-                                          CounterId::kSentMessagesLedger };
-                },
-                [](const membership::RegistryMessage&) {
-                  return PurposeCounters{ CounterId::kSentBytesDirectory,
-                                          CounterId::kSentMessagesDirectory };
-                },
-                [](const gateway::SharedMessage& aShared) {
-                  return CountersOf(aShared);
-                } },
+    Overloaded{
+      [](const control::ReplicaEnvelope&) {
+        return PurposeCounters{ CounterId::kSentBytesReplication,
+                                CounterId::kSentMessagesReplication };
+      },
+      [&](const membership::EntryEnvelope&) { return session; },
+      [&](const wire::ToEntryEnvelope&) { return session; },
+      [](const wire::MemberEnvelope&) {
+        return PurposeCounters{ CounterId::kSentBytesLedger,
+                                CounterId::kSentMessagesLedger };
+      },
+      [](const membership::RegistryMessage&) {
+        return PurposeCounters{ CounterId::kSentBytesDirectory,
+                                CounterId::kSentMessagesDirectory };
+      },
+      [](const gateway::PeerMessage& aShared) { return CountersOf(aShared); } },
     aPayload);
 }
 
--- a/test/fleet/DutyDeskTest.cpp
+++ b/test/fleet/DutyDeskTest.cpp
@@ -24,7 +24,7 @@
        std::uint64_t aCount,
        int aMs)
 {
-  return { .mLife = aLife,
+  return { .mEntryIncarnation = aLife,
            .mWallMicros = std::int64_t{ aMs } * 1000,
            .mWindows = {
              { .mNumber = aWindow, .mCounts = { { kCustomer, aCount } } } } };
--- a/test/fleet/PoolPlannerTest.cpp
+++ b/test/fleet/PoolPlannerTest.cpp
@@ -24,8 +24,8 @@
            .mScaling =
              ScalingProfile{ .mMin = 1,
                              .mMax = 10,
-                             .mBoot = std::chrono::seconds(4),
-                             .mReclaimablePrice = 0.2,
+                             .mBootTime = std::chrono::seconds(4),
+                             .mReclaimablePriceRatio = 0.2,
                              .mPrices = { { FailureDomain("a"), 1.0 },
                                           { FailureDomain("b"), 0.8 } } } };
 }
@@ -236,7 +236,7 @@
 TEST_CASE("TheReserveBeforeLoadCostsNoMoreThanWhatItStandsInFor")
 {
   ServiceProfile dear = MakeService();
-  dear.mScaling->mReclaimablePrice = 0.8;
+  dear.mScaling->mReclaimablePriceRatio = 0.8;
   dear.mScaling->mPrices[FailureDomain("c")] = 1.0;
   PoolPlanner planner({ .mLeast = 2 });
   PoolView view;
--- a/test/gateway/AttemptPolicyTest.cpp
+++ b/test/gateway/AttemptPolicyTest.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-AttemptFacts
-AnyFacts()
+AttemptState
+AnyState()
 {
-  return AttemptFacts{
+  return AttemptState{
     .mKind = *rc::gen::element(RequestKind::kIdempotent,
                                RequestKind::kNonIdempotent,
                                RequestKind::kStreaming),
@@ -25,10 +25,10 @@
 }
 
 bool
-MayRepeat(const AttemptFacts& aFacts)
+IsRetryable(const AttemptState& aState)
 {
-  return aFacts.mKind == RequestKind::kIdempotent ||
-         (aFacts.mKind == RequestKind::kStreaming && aFacts.mResumable);
+  return aState.mKind == RequestKind::kIdempotent ||
+         (aState.mKind == RequestKind::kStreaming && aState.mResumable);
 }
 
 } // namespace
@@ -40,11 +40,11 @@
 TEST_CASE("ARequestThatMayRunOnceIsNeverSentAgainAfterALostAnswer")
 {
   rc::prop("AfterLost", [] {
-    AttemptFacts facts = AnyFacts();
-    facts.mRuns = std::max<std::uint32_t>(1, facts.mRuns);
-    const NextStep step = AfterLost(facts);
-    if (!MayRepeat(facts) || facts.mRuns >= facts.mMaxAttempts) {
-      RC_ASSERT(step != NextStep::kTryAnother);
+    AttemptState state = AnyState();
+    state.mRuns = std::max<std::uint32_t>(1, state.mRuns);
+    const NextStep step = AfterLostResponse(state);
+    if (!IsRetryable(state) || state.mRuns >= state.mMaxAttempts) {
+      RC_ASSERT(step != NextStep::kRetryElsewhere);
     }
     RC_ASSERT(step != NextStep::kRefuse);
   });
@@ -57,15 +57,15 @@
 TEST_CASE("ARefusalIsGivenOnlyWhenNoUpstreamMayHaveRunTheRequest")
 {
   rc::prop("AfterNotRun", [] {
-    const AttemptFacts facts = AnyFacts();
-    const NextStep step = AfterNotRun(facts);
+    const AttemptState state = AnyState();
+    const NextStep step = AfterNotExecuted(state);
     if (step == NextStep::kRefuse) {
-      RC_ASSERT(facts.mRuns == 0U);
-      RC_ASSERT(!facts.mBegun);
+      RC_ASSERT(state.mRuns == 0U);
+      RC_ASSERT(!state.mBegun);
     }
-    if (step == NextStep::kTryAnother) {
-      RC_ASSERT(facts.mTimeLeft);
-      RC_ASSERT(facts.mRuns < facts.mMaxAttempts);
+    if (step == NextStep::kRetryElsewhere) {
+      RC_ASSERT(state.mTimeLeft);
+      RC_ASSERT(state.mRuns < state.mMaxAttempts);
     }
   });
 }
@@ -73,27 +73,28 @@
 TEST_CASE("AnAnswerThatHasBegunIsNeverFollowedByAnotherOne")
 {
   rc::prop("begun", [] {
-    AttemptFacts facts = AnyFacts();
-    facts.mBegun = true;
-    facts.mRuns = std::max<std::uint32_t>(1, facts.mRuns);
-    for (const NextStep step : { AfterNotRun(facts), AfterLost(facts) }) {
-      RC_ASSERT(step == NextStep::kTryAnother || step == NextStep::kBreakOff);
+    AttemptState state = AnyState();
+    state.mBegun = true;
+    state.mRuns = std::max<std::uint32_t>(1, state.mRuns);
+    for (const NextStep step :
+         { AfterNotExecuted(state), AfterLostResponse(state) }) {
+      RC_ASSERT(step == NextStep::kRetryElsewhere || step == NextStep::kAbort);
     }
   });
 }
 
 TEST_CASE("AnUpstreamsOwnFailureIsRepeatedOnlyWhereItMayRunAgain")
 {
-  AttemptFacts facts{ .mKind = RequestKind::kIdempotent,
+  AttemptState state{ .mKind = RequestKind::kIdempotent,
                       .mRuns = 1,
                       .mMaxAttempts = 2 };
-  CHECK(AfterFailure(facts) == NextStep::kTryAnother);
-  facts.mRuns = 2;
-  CHECK(AfterFailure(facts) == NextStep::kPassOn);
-  facts = { .mKind = RequestKind::kNonIdempotent,
+  CHECK(AfterUpstreamError(state) == NextStep::kRetryElsewhere);
+  state.mRuns = 2;
+  CHECK(AfterUpstreamError(state) == NextStep::kForward);
+  state = { .mKind = RequestKind::kNonIdempotent,
             .mRuns = 1,
             .mMaxAttempts = 2 };
-  CHECK(AfterFailure(facts) == NextStep::kPassOn);
+  CHECK(AfterUpstreamError(state) == NextStep::kForward);
 }
 
 // Symptom: callers of streams got an upstream's 500 for seconds while other
@@ -102,13 +103,13 @@
 // Cause: a stream that may be resumed was not taken for one that may run again.
 TEST_CASE("AStreamThatMayBeResumedIsTriedElsewhereWhenItsUpstreamFails")
 {
-  AttemptFacts facts{ .mKind = RequestKind::kStreaming,
+  AttemptState state{ .mKind = RequestKind::kStreaming,
                       .mResumable = true,
                       .mRuns = 1,
                       .mMaxAttempts = 2 };
-  CHECK(AfterFailure(facts) == NextStep::kTryAnother);
-  facts.mResumable = false;
-  CHECK(AfterFailure(facts) == NextStep::kPassOn);
+  CHECK(AfterUpstreamError(state) == NextStep::kRetryElsewhere);
+  state.mResumable = false;
+  CHECK(AfterUpstreamError(state) == NextStep::kForward);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/ExchangeGateTest.cpp
+++ b/test/gateway/ExchangeGateTest.cpp
@@ -43,7 +43,7 @@
 LastTold(GatewayFixture& aGateway)
 {
   std::optional<Message> last;
-  for (const SharedMessage& message : aGateway.ToldLeader()) {
+  for (const PeerMessage& message : aGateway.ToldLeader()) {
     if (const auto* one = std::get_if<Message>(&message)) {
       last = *one;
     }
@@ -68,7 +68,8 @@
   CHECK(upstream.Requests().empty());
   caller.Send(RequestText("once", "g2", "harmless"));
   CHECK(caller.ReadAnswer().ends_with("answer"));
-  gateway.OnRelay([&] { CHECK(gateway.Core().mCameAgain.size() == 1); });
+  gateway.OnRelay(
+    [&] { CHECK(gateway.Core().mResubmittedContents.size() == 1); });
 }
 
 TEST_CASE("ASlowedContentWaitsForItsTurnAndItsAnswerIsTold")
--- a/test/gateway/ExchangeLoadTest.cpp
+++ b/test/gateway/ExchangeLoadTest.cpp
@@ -35,7 +35,7 @@
     mGateway.OnRelay([this] {
       GatewayCore& core = mGateway.Core();
       core.mKeepers.Use({ { .mAddress = kKeeper, .mDomain = {} } });
-      core.mTellEntry = [this](const Address&, const SharedMessage& aMessage) {
+      core.mTellEntry = [this](const Address&, const PeerMessage& aMessage) {
         const std::lock_guard lock(mMutex);
         mTold.push_back(aMessage);
         if (const auto* ask = std::get_if<LoadAsk>(&aMessage);
@@ -65,7 +65,7 @@
   {
     const std::lock_guard lock(mMutex);
     std::size_t count = 0;
-    for (const SharedMessage& told : mTold) {
+    for (const PeerMessage& told : mTold) {
       count += std::holds_alternative<Message>(told) ? 1 : 0;
     }
     return count;
@@ -111,7 +111,7 @@
   }
 
   mutable std::mutex mMutex;
-  std::vector<SharedMessage> mTold;
+  std::vector<PeerMessage> mTold;
   std::optional<std::vector<LoadLine>> mAnswers;
 };
 
--- a/test/gateway/GatewayFixture.cpp
+++ b/test/gateway/GatewayFixture.cpp
@@ -295,21 +295,21 @@
     .mIo = mIo,
     .mNames = TestNames(),
     .mBoard = UpstreamBoard({ .mEjectFor = std::chrono::milliseconds(50) }),
-    .mBudget = RepeatBudget({ .mExtra = 1000.0 }),
+    .mBudget = ServiceRetryBudget({ .mFixedAllowance = 1000.0 }),
     .mPool = {},
     .mLogger = *mLogger,
     .mCounters = mCounters,
     .mNow = runtime::ReadClock,
     .mQuota = {},
-    .mUsage = UsageTally(std::chrono::seconds(5), 1),
+    .mUsage = UsageCounter(std::chrono::seconds(5), 1),
     .mTellLeader =
-      [this](SharedMessage aMessage) {
+      [this](PeerMessage aMessage) {
         mToldLeader.push_back(std::move(aMessage));
       },
     .mKeepers = {},
     .mKeeper = {},
     .mInquiries = {},
-    .mTellEntry = [](const Address&, const SharedMessage&) {},
+    .mTellEntry = [](const Address&, const PeerMessage&) {},
     .mWall = runtime::ReadWallMicros,
     .mWaiting = {},
     .mTable = MakeTable() });
--- a/test/gateway/GatewayFixture.h
+++ b/test/gateway/GatewayFixture.h
@@ -109,9 +109,9 @@
   bool IsQuiet();
   std::size_t Exchanges();
   /** What was told to the control leader. */
-  std::vector<SharedMessage> ToldLeader()
+  std::vector<PeerMessage> ToldLeader()
   {
-    std::vector<SharedMessage> told;
+    std::vector<PeerMessage> told;
     OnRelay([&] { told = mToldLeader; });
     return told;
   }
@@ -120,7 +120,7 @@
   observe::Counters mCounters;
   http::net::io_context mIo{ 1 };
   std::unique_ptr<observe::Logger> mLogger;
-  std::vector<SharedMessage> mToldLeader;
+  std::vector<PeerMessage> mToldLeader;
   std::unique_ptr<GatewayCore> mCore;
   std::unique_ptr<Gateway> mGateway;
   Address mWhere;
--- a/test/gateway/QuotaLeasesTest.cpp
+++ b/test/gateway/QuotaLeasesTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t kGrantor = 3;
+constexpr std::uint64_t kAllocatorId = 3;
 const Address kEntry{ "127.0.0.1", 1 };
 
 TimePoint
@@ -17,62 +17,62 @@
 }
 
 double
-OwnPartAt(QuotaLeases& aLeases, int aMs)
+FallbackShareAt(QuotaLeases& aLeases, int aMs)
 {
   aLeases.Advance(At(aMs));
-  return aLeases.OwnPart();
+  return aLeases.FallbackShare();
 }
 
 } // namespace
 
 TEST_CASE("AMemberThatWasNeverHeardMayUseItsOwnPart")
 {
-  QuotaLeases leases(kGrantor, 1);
-  leases.UseEntries({ kEntry }, At(0));
-  CHECK(OwnPartAt(leases, 1) == Approx(0.25));
-  CHECK(leases.OwnSaved() == Approx(0.25).margin(0.001));
+  QuotaLeases leases(kAllocatorId, 1);
+  leases.SetEntries({ kEntry }, At(0));
+  CHECK(FallbackShareAt(leases, 1) == Approx(0.25));
+  CHECK(leases.FallbackAccrual() == Approx(0.25).margin(0.001));
 }
 
 TEST_CASE("AnEntryIsCoveredFromWhenItsLeaseWasSentOnceItHasConfirmedIt")
 {
-  QuotaLeases leases(kGrantor, 1);
-  leases.UseEntries({ kEntry }, At(0));
+  QuotaLeases leases(kAllocatorId, 1);
+  leases.SetEntries({ kEntry }, At(0));
   const QuotaLease lease = leases.Renew(kEntry, {}, At(0));
-  CHECK(OwnPartAt(leases, 10) > 0.0);
+  CHECK(FallbackShareAt(leases, 10) > 0.0);
   leases.Renew(kEntry, lease, At(300));
-  CHECK(OwnPartAt(leases, 310) == 0.0);
-  CHECK(OwnPartAt(leases, 900) == 0.0);
+  CHECK(FallbackShareAt(leases, 310) == 0.0);
+  CHECK(FallbackShareAt(leases, 900) == 0.0);
   // The lease of 300 ms is not confirmed.
-  CHECK(OwnPartAt(leases, 1050) > 0.0);
+  CHECK(FallbackShareAt(leases, 1050) > 0.0);
 }
 
 // Guards against another leader's lease being taken for one's own.
 TEST_CASE("ALeaseOfAnotherLeaderCoversNothing")
 {
-  QuotaLeases leases(kGrantor, 1);
-  leases.UseEntries({ kEntry }, At(0));
+  QuotaLeases leases(kAllocatorId, 1);
+  leases.SetEntries({ kEntry }, At(0));
   QuotaLease lease = leases.Renew(kEntry, {}, At(0));
-  lease.mGrantor = kGrantor + 1;
+  lease.mAllocatorId = kAllocatorId + 1;
   leases.Renew(kEntry, lease, At(10));
-  CHECK(OwnPartAt(leases, 20) > 0.0);
+  CHECK(FallbackShareAt(leases, 20) > 0.0);
 }
 
 // Guards against giving an entry's part to others while it still serves.
 TEST_CASE("ARemovedEntryCountsUntilItUsesItsPartNoMore")
 {
-  QuotaLeases leases(kGrantor, 1);
-  leases.UseEntries({ kEntry }, At(0));
+  QuotaLeases leases(kAllocatorId, 1);
+  leases.SetEntries({ kEntry }, At(0));
   leases.Renew(kEntry, leases.Renew(kEntry, {}, At(0)), At(10));
-  leases.UseEntries({}, At(20));
-  CHECK(OwnPartAt(leases, 10000) > 0.0);
-  CHECK(OwnPartAt(leases, 30000) == 0.0);
+  leases.SetEntries({}, At(20));
+  CHECK(FallbackShareAt(leases, 10000) > 0.0);
+  CHECK(FallbackShareAt(leases, 30000) == 0.0);
 }
 
 TEST_CASE("AnEntryThatNeverHeldALeaseHasNoOwnPart")
 {
-  QuotaLeases leases(kGrantor, 1);
+  QuotaLeases leases(kAllocatorId, 1);
   leases.Renew(kEntry, {}, At(0));
-  CHECK(OwnPartAt(leases, 10) == 0.0);
+  CHECK(FallbackShareAt(leases, 10) == 0.0);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/QuotaPlay.h
+++ b/test/gateway/QuotaSimulation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "peridotspool/gateway/QuotaBank.h"
-#include "peridotspool/gateway/QuotaGate.h"
+#include "peridotspool/gateway/QuotaAllocator.h"
+#include "peridotspool/gateway/QuotaClient.h"
 
 #include <functional>
 #include <map>
@@ -16,7 +16,7 @@
 enum class QuotaFault
 {
   /** The customer asks mTimes as much. */
-  kFlood,
+  kOverload,
   /** The leader is gone; another one is elected after mFor. */
   kLeaderLost,
   /** What the leader sends takes mFor longer, for mTimes seconds. */
@@ -24,9 +24,9 @@
   /** The share mTimes of the entries start anew. */
   kEntriesRestart,
   /** The share mTimes of the entries can't reach the leader for mFor. */
-  kEntriesCut,
+  kEntriesPartitioned,
   /** The share mTimes of the entries stands still for mFor. */
-  kEntriesFrozen,
+  kEntriesPaused,
   /** Requests that are granted don't run, for mFor. */
   kUpstreamsDown,
   /** The customer's rate and burst become mTimes the first ones. */
@@ -38,105 +38,107 @@
 struct QuotaIncident
 {
   int mAtMs = 0;
-  QuotaFault mFault = QuotaFault::kFlood;
-  int mForMs = 0;
-  double mTimes = 1.0;
+  QuotaFault mFault = QuotaFault::kOverload;
+  int mDurationMs = 0;
+  double mFactor = 1.0;
 };
 
-struct QuotaPlayOptions
+struct QuotaSimulationOptions
 {
   std::size_t mEntries = 9;
   double mRate = 200000.0;
   double mSlack = 140000.0;
-  int mForMs = 40000;
+  int mDurationMs = 40000;
   std::uint64_t mSeed = 1;
 };
 
-struct QuotaPlayResult
+struct QuotaSimulationResult
 {
   /** The most units in a window of those that were both asked for in it and
    * run in it, over the allowed ones. */
-  double mWorst = 0.0;
+  double mWorstRatio = 0.0;
   int mWorstAtMs = 0;
   /** Requests in times without a flood, and those of them that never ran. */
-  std::size_t mCalm = 0;
-  std::size_t mCalmRefused = 0;
+  std::size_t mNormalRequests = 0;
+  std::size_t mNormalRefused = 0;
 };
 
 /**
  * Entries, control leaders and the callers of one customer on one virtual
  * clock. Callers whose request is refused ask once more, when they are told to.
  */
-class QuotaPlay
+class QuotaSimulation
 {
 public:
-  QuotaPlay(QuotaPlayOptions aOptions, std::vector<QuotaIncident> aIncidents);
-  QuotaPlayResult Run();
+  QuotaSimulation(QuotaSimulationOptions aOptions,
+                  std::vector<QuotaIncident> aIncidents);
+  QuotaSimulationResult Run();
 
 private:
   struct Request
   {
     double mUnits = 0.0;
     int mSentAt = 0;
-    bool mAgain = false;
+    bool mIsRetry = false;
     QuotaReceipt mReceipt;
   };
   struct Entry
   {
-    QuotaGate mGate;
-    int mCutUntil = 0;
-    int mFrozenUntil = 0;
-    bool mKnowsLeader = false;
-    std::uint64_t mLife = 0;
+    QuotaClient mClient;
+    int mPartitionedUntil = 0;
+    int mPausedUntil = 0;
+    bool mHasLeader = false;
+    std::uint64_t mIncarnation = 0;
     std::map<std::uint64_t, Request> mPending;
   };
 
   TimePoint Now() const;
-  void At(int aMs, std::function<void()> aCall);
-  void Begin(const QuotaIncident& aIncident);
+  void At(int aMs, std::function<void()> aEvent);
+  void ApplyFault(const QuotaIncident& aIncident);
   void StartEntry(std::size_t aEntry);
   void StartLeader();
-  void UseSettings();
-  void MeetLeader(std::size_t aEntry);
-  void SendToLeader(std::size_t aEntry, const QuotaAsk& aAsk);
-  void SendGrant(std::size_t aEntry, const QuotaGrant& aGrant);
-  void Report(std::size_t aEntry);
-  void SendToEntry(std::size_t aEntry, std::function<void(Entry&)> aTake);
+  void ApplySettings();
+  void ConnectToLeader(std::size_t aEntry);
+  void SendToLeader(std::size_t aEntry, const QuotaRequest& aRequest);
+  void SendResponse(std::size_t aEntry, const QuotaResponse& aResponse);
+  void ReportLease(std::size_t aEntry);
+  void SendToEntry(std::size_t aEntry, std::function<void(Entry&)> aHandler);
   void Deliver(std::size_t aEntry,
-               std::uint64_t aLife,
-               const std::function<void(Entry&)>& aTake);
+               std::uint64_t aIncarnation,
+               const std::function<void(Entry&)>& aHandler);
   void CommitFloors();
   void TickEntries();
   void TickLeader();
-  void AskFor(double aUnits, bool aAgain);
-  void Decide(std::size_t aEntry, const std::vector<QuotaDecided>& aDecided);
+  void SendRequest(double aUnits, bool aIsRetry);
+  void HandleDecisions(std::size_t aEntry,
+                       const std::vector<DeferredQuotaDecision>& aDecisions);
   void OnGranted(std::size_t aEntry, const Request& aRequest);
-  void OnRefused(const Request& aRequest, Duration aComeBack);
+  void OnRefused(const Request& aRequest, Duration aRetryAfter);
   double DrawUnits();
-  std::vector<std::size_t> Draw(double aShare);
-  QuotaPlayResult Measure() const;
+  std::vector<std::size_t> DrawEntries(double aShare);
+  QuotaSimulationResult Measure() const;
 
-  QuotaPlayOptions mOptions;
+  QuotaSimulationOptions mOptions;
   Customer mCustomer;
   std::vector<QuotaIncident> mIncidents;
   std::mt19937_64 mRandom;
   int mMs = 0;
-  std::multimap<int, std::function<void()>> mCalls;
+  std::multimap<int, std::function<void()>> mEvents;
   std::vector<Entry> mEntries;
-  std::unique_ptr<QuotaBank> mLeader;
+  std::unique_ptr<QuotaAllocator> mLeader;
   QuotaFloors mCommitted;
-  std::uint64_t mLeaders = 0;
-  int mAnswerDelay = 0;
-  double mTimes = 1.0;
-  int mDownUntil = 0;
-  double mDue = 0.0;
-  bool mKnown = true;
-  std::uint64_t mLives = 0;
-  double mMostRate = 0.0;
-  std::size_t mCalm = 0;
-  std::size_t mCalmRefused = 0;
+  std::uint64_t mLeaderCount = 0;
+  int mResponseDelayMs = 0;
+  double mFactor = 1.0;
+  int mUpstreamsDownUntil = 0;
+  double mBacklogUnits = 0.0;
+  bool mIsConfigured = true;
+  std::uint64_t mIncarnationCount = 0;
+  double mMaxRate = 0.0;
+  std::size_t mNormalRequests = 0;
+  std::size_t mNormalRefused = 0;
   /** Units by when they were asked for and when they ran. */
-  std::map<int, std::map<int, double>> mRan;
+  std::map<int, std::map<int, double>> mExecuted;
 };
 
 } // namespace peridotspool::gateway
--- /dev/null
+++ b/test/gateway/QuotaSimulationTest.cpp
@@ -0,0 +1,190 @@
+// ctest-labels: unit
+#include "gateway/QuotaSimulation.h"
+
+#include <catch2/catch.hpp>
+
+#include <random>
+
+namespace peridotspool::gateway {
+
+namespace {
+
+constexpr std::uint64_t kSeeds = 6;
+
+/** Plays it at several sizes, and says where a limit was not kept. */
+void
+CheckLimitHolds(const std::vector<QuotaIncident>& aIncidents)
+{
+  for (const std::size_t entries : { 3, 9, 70, 300 }) {
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+      for (const double rate : { 36000.0, 200000.0 }) {
+        QuotaSimulation simulation(
+          { .mEntries = entries, .mRate = rate, .mSeed = seed }, aIncidents);
+        const QuotaSimulationResult result = simulation.Run();
+        INFO("entries " << entries << ", rate " << rate << ", seed " << seed
+                        << ": used " << result.mWorstRatio
+                        << " of what is allowed in the window from "
+                        << result.mWorstAtMs << " ms, expected at most 1");
+        CHECK(result.mWorstRatio <= 1.0);
+      }
+    }
+  }
+}
+
+const QuotaIncident kLongOverload{ .mAtMs = 10000,
+                                   .mFault = QuotaFault::kOverload,
+                                   .mDurationMs = 20000,
+                                   .mFactor = 40.0 };
+
+} // namespace
+
+// Guards against entries that overdraw their own parts while no leader answers.
+TEST_CASE("ALimitIsKeptWhenTheLeaderIsLostUnderAFlood")
+{
+  CheckLimitHolds({ kLongOverload,
+                    { .mAtMs = 15000,
+                      .mFault = QuotaFault::kLeaderLost,
+                      .mDurationMs = 1000 } });
+}
+
+// Guards against a fresh allowance with each new leader.
+TEST_CASE("ALimitIsKeptWhenLeadersAreLostInSeries")
+{
+  CheckLimitHolds(
+    { kLongOverload,
+      { .mAtMs = 15000, .mFault = QuotaFault::kLeaderLost, .mDurationMs = 900 },
+      { .mAtMs = 17500, .mFault = QuotaFault::kLeaderLost, .mDurationMs = 900 },
+      { .mAtMs = 20000,
+        .mFault = QuotaFault::kLeaderLost,
+        .mDurationMs = 2500 } });
+}
+
+// Guards against units that are taken from the own part and from a late grant.
+TEST_CASE("ALimitIsKeptWhileTheLeaderAnswersLate")
+{
+  for (const int delay : { 250, 600, 1500 }) {
+    CheckLimitHolds({ kLongOverload,
+                      { .mAtMs = 12000,
+                        .mFault = QuotaFault::kLeaderSlow,
+                        .mDurationMs = delay,
+                        .mFactor = 9.0 } });
+  }
+}
+
+// Guards against a fresh allowance with each start of an entry.
+TEST_CASE("ALimitIsKeptWhenEntriesRestartWithoutALeader")
+{
+  CheckLimitHolds(
+    { kLongOverload,
+      { .mAtMs = 15000,
+        .mFault = QuotaFault::kLeaderLost,
+        .mDurationMs = 4000 },
+      { .mAtMs = 15500, .mFault = QuotaFault::kEntriesRestart, .mFactor = 0.6 },
+      { .mAtMs = 17000,
+        .mFault = QuotaFault::kEntriesRestart,
+        .mFactor = 1.0 } });
+}
+
+// Guards against units of requests that did not run being used much later.
+TEST_CASE("ALimitIsKeptWhenGrantedRequestsDoNotRun")
+{
+  CheckLimitHolds({ kLongOverload,
+                    { .mAtMs = 10000,
+                      .mFault = QuotaFault::kUpstreamsDown,
+                      .mDurationMs = 6000 } });
+}
+
+// Guards against the leader giving what entries that are cut off give, too.
+TEST_CASE("ALimitIsKeptWhileEntriesAreCutOff")
+{
+  for (const double share : { 0.2, 0.5, 0.9 }) {
+    CheckLimitHolds({ kLongOverload,
+                      { .mAtMs = 13000,
+                        .mFault = QuotaFault::kEntriesPartitioned,
+                        .mDurationMs = 9000,
+                        .mFactor = share },
+                      { .mAtMs = 16000,
+                        .mFault = QuotaFault::kLeaderLost,
+                        .mDurationMs = 1200 } });
+  }
+}
+
+// Guards against a fresh account for a customer that is removed and comes back,
+// or whose limit changes.
+TEST_CASE("ALimitIsKeptWhenTheCustomerComesBackOrItsLimitChanges")
+{
+  CheckLimitHolds(
+    { kLongOverload,
+      { .mAtMs = 14000,
+        .mFault = QuotaFault::kCustomerRemoved,
+        .mDurationMs = 200 },
+      { .mAtMs = 16000,
+        .mFault = QuotaFault::kCustomerRemoved,
+        .mDurationMs = 200 },
+      { .mAtMs = 18000, .mFault = QuotaFault::kLimitChanged, .mFactor = 0.6 },
+      { .mAtMs = 19000, .mFault = QuotaFault::kLimitChanged, .mFactor = 1.0 },
+      { .mAtMs = 20000,
+        .mFault = QuotaFault::kLeaderLost,
+        .mDurationMs = 1000 } });
+}
+
+// Guards against faults in series and at once whose excesses add up.
+TEST_CASE("ALimitIsKeptWhateverIsLostAndWhenever")
+{
+  constexpr std::uint64_t kSchedules = 40;
+  for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
+    std::mt19937_64 random(seed);
+    const auto draw = [&](int aMin, int aMax) {
+      return aMin + static_cast<int>(random() %
+                                     static_cast<std::uint64_t>(aMax - aMin));
+    };
+    std::vector<QuotaIncident> incidents{ kLongOverload };
+    for (int i = 0; i < 12; ++i) {
+      const auto fault = static_cast<QuotaFault>(
+        draw(1, static_cast<int>(QuotaFault::kCustomerRemoved) + 1));
+      const bool isLimit = fault == QuotaFault::kLimitChanged;
+      incidents.push_back({ .mAtMs = draw(8000, 28000),
+                            .mFault = fault,
+                            .mDurationMs = draw(300, 4000),
+                            .mFactor = draw(isLimit ? 5 : 1, 11) / 10.0 });
+    }
+    for (const std::size_t entries : { 3, 9, 70, 300 }) {
+      QuotaSimulation simulation({ .mEntries = entries,
+                                   .mRate = seed % 2 == 0 ? 36000.0 : 200000.0,
+                                   .mSeed = seed },
+                                 incidents);
+      const QuotaSimulationResult result = simulation.Run();
+      INFO("entries " << entries << ", seed " << seed << ": used "
+                      << result.mWorstRatio
+                      << " of what is allowed in the window from "
+                      << result.mWorstAtMs << " ms, expected at most 1");
+      CHECK(result.mWorstRatio <= 1.0);
+    }
+  }
+}
+
+// Guards against keeping a limit by refusing what the customer may have.
+TEST_CASE("ACustomerBelowItsLimitIsServedWhateverIsLost")
+{
+  const std::vector<QuotaIncident> incidents = {
+    { .mAtMs = 12000, .mFault = QuotaFault::kLeaderLost, .mDurationMs = 800 },
+    { .mAtMs = 20000,
+      .mFault = QuotaFault::kEntriesPartitioned,
+      .mDurationMs = 0 },
+    { .mAtMs = 25000, .mFault = QuotaFault::kEntriesRestart, .mFactor = 0.5 },
+  };
+  for (const std::size_t entries : { 3, 9, 70, 300 }) {
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+      QuotaSimulation simulation({ .mEntries = entries, .mSeed = seed },
+                                 incidents);
+      const QuotaSimulationResult result = simulation.Run();
+      INFO("entries " << entries << ", seed " << seed << ": "
+                      << result.mNormalRefused << " of "
+                      << result.mNormalRequests
+                      << " never ran, expected fewer than one in fifty");
+      CHECK(result.mNormalRefused * 50 <= result.mNormalRequests);
+    }
+  }
+}
+
+} // namespace peridotspool::gateway
--- a/test/gateway/QuotaTest.cpp
+++ b/test/gateway/QuotaTest.cpp
@@ -1,6 +1,6 @@
 // ctest-labels: unit
-#include "peridotspool/gateway/QuotaBank.h"
-#include "peridotspool/gateway/QuotaGate.h"
+#include "peridotspool/gateway/QuotaAllocator.h"
+#include "peridotspool/gateway/QuotaClient.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -35,8 +35,8 @@
   return { .mOvershoot = 0.1, .mSlack = kSlack };
 }
 
-constexpr std::uint64_t kGrantor = 7;
-const Address kFrom{ "127.0.0.1", 1 };
+constexpr std::uint64_t kAllocatorId = 7;
+const Address kEntry{ "127.0.0.1", 1 };
 
 std::vector<Address>
 Addresses(std::size_t aCount)
@@ -48,61 +48,68 @@
   return addresses;
 }
 
-QuotaBank
-MakeBank(QuotaFloors aFloors = {})
+QuotaAllocator
+MakeAllocator(QuotaFloors aFloors = {})
 {
-  QuotaBank bank(Bounds(), kGrantor, 1, std::move(aFloors), At(0));
-  bank.Use({ MakeCustomer() }, At(0));
-  return bank;
+  QuotaAllocator allocator(
+    Bounds(), kAllocatorId, 1, std::move(aFloors), At(0));
+  allocator.SetCustomers({ MakeCustomer() }, At(0));
+  return allocator;
 }
 
 /** Lets a bank's time pass and commits at once what it wants committed. */
 void
-Commit(QuotaBank& aBank, QuotaFloors& aCommitted, TimePoint aNow)
+CommitFloors(QuotaAllocator& aAllocator,
+             QuotaFloors& aCommitted,
+             TimePoint aNow)
 {
-  if (auto due = aBank.Due(aNow)) {
-    aCommitted = *due;
-    aBank.TakeCommitted(aCommitted);
+  if (auto proposed = aAllocator.ProposeFloors(aNow)) {
+    aCommitted = *proposed;
+    aAllocator.ApplyCommittedFloors(aCommitted);
   }
 }
 
 /** The verdict on one request, after whatever has to be committed for it. */
-QuotaVerdict
-AskFor(QuotaBank& aBank, QuotaFloors& aCommitted, double aUnits, TimePoint aNow)
+QuotaResponseItem
+RequestUnits(QuotaAllocator& aAllocator,
+             QuotaFloors& aCommitted,
+             double aUnits,
+             TimePoint aNow)
 {
-  const QuotaAsk ask{ .mLines = {
-                        { .mCustomer = CustomerName("c"),
-                          .mUnits = static_cast<std::uint64_t>(aUnits),
-                          .mTag = 1 } } };
-  QuotaGrant grant = aBank.Ask(kFrom, ask, aNow);
-  Commit(aBank, aCommitted, aNow);
-  for (const QuotaAnswerTo& answer : aBank.TakeAnswered(aNow)) {
-    grant = answer.mGrant;
+  const QuotaRequest request{ .mItems = {
+                                { .mCustomer = CustomerName("c"),
+                                  .mUnits = static_cast<std::uint64_t>(aUnits),
+                                  .mTag = 1 } } };
+  QuotaResponse response = aAllocator.HandleRequest(kEntry, request, aNow);
+  CommitFloors(aAllocator, aCommitted, aNow);
+  for (const AddressedQuotaResponse& answer :
+       aAllocator.TakeDeferredResponses(aNow)) {
+    response = answer.mResponse;
   }
-  REQUIRE(grant.mVerdicts.size() == 1);
-  return grant.mVerdicts.front();
+  REQUIRE(response.mResults.size() == 1);
+  return response.mResults.front();
 }
 
 /** Units granted over time, and the most in any window of 8 s. */
-class Meter
+class WindowMeter
 {
 public:
   void Add(int aMs, double aUnits)
   {
     mSum += aUnits;
-    mGiven.emplace_back(aMs, aUnits);
-    while (mGiven.front().first <= aMs - 8000) {
-      mSum -= mGiven.front().second;
-      mGiven.pop_front();
+    mSamples.emplace_back(aMs, aUnits);
+    while (mSamples.front().first <= aMs - 8000) {
+      mSum -= mSamples.front().second;
+      mSamples.pop_front();
     }
-    mMost = std::max(mMost, mSum);
+    mMax = std::max(mMax, mSum);
   }
-  double Most() const { return mMost; }
+  double Max() const { return mMax; }
 
 private:
-  std::deque<std::pair<int, double>> mGiven;
+  std::deque<std::pair<int, double>> mSamples;
   double mSum = 0.0;
-  double mMost = 0.0;
+  double mMax = 0.0;
 };
 
 } // namespace
@@ -115,46 +122,46 @@
     const std::size_t entries = 9;
     const int cut = *rc::gen::inRange(0, 6);
     const double units = *rc::gen::inRange(20, 120);
-    QuotaBank bank = MakeBank();
+    QuotaAllocator allocator = MakeAllocator();
     QuotaFloors committed;
-    bank.UseEntries(Addresses(entries), At(0));
-    std::vector<QuotaGate> gates(entries);
+    allocator.SetEntries(Addresses(entries), At(0));
+    std::vector<QuotaClient> clients(entries);
     const auto addresses = Addresses(entries);
-    Meter meter;
+    WindowMeter meter;
     for (int ms = 0; ms < 30000; ms += 10) {
       const auto which = static_cast<std::size_t>(ms / 10) % entries;
-      QuotaGate& gate = gates[which];
+      QuotaClient& client = clients[which];
       const bool reaches = which >= static_cast<std::size_t>(cut) || ms < 5000;
       if (ms % 270 < 90 && reaches) {
-        gate.TakeLease(bank.Renew(addresses[which], gate.Lease(), At(ms)),
-                       At(ms));
+        client.HandleLease(
+          allocator.Renew(addresses[which], client.Lease(), At(ms)), At(ms));
       }
-      Commit(bank, committed, At(ms));
+      CommitFloors(allocator, committed, At(ms));
       // A quiet time first: accounts fill up.
       if (ms < 10000 && ms % 500 != 0) {
         continue;
       }
-      const auto answer = gate.Take(MakeCustomer(), units, At(ms));
+      const auto answer = client.Acquire(MakeCustomer(), units, At(ms));
       bool granted = answer.mOutcome == QuotaOutcome::kGranted;
-      if (answer.mOutcome == QuotaOutcome::kAsked && reaches) {
-        for (const auto& one :
-             gate.TakeGrant(bank.Ask(kFrom, answer.mAsk, At(ms)))) {
+      if (answer.mOutcome == QuotaOutcome::kPending && reaches) {
+        for (const auto& one : client.HandleResponse(
+               allocator.HandleRequest(kEntry, answer.mRequest, At(ms)))) {
           granted = granted || one.mGranted;
         }
       }
       if (granted) {
         meter.Add(ms, units);
       }
-      for (const auto& one : gate.Tick(At(ms))) {
+      for (const auto& one : client.Tick(At(ms))) {
         if (one.mGranted) {
           meter.Add(ms, units);
         }
       }
     }
     const double allowed = (kRate * 8 + kRate) * 1.1 + kSlack;
-    RC_ASSERT(meter.Most() <= allowed);
+    RC_ASSERT(meter.Max() <= allowed);
     // The limit is not only kept: what it allows is given.
-    RC_ASSERT(meter.Most() >= kRate * 7);
+    RC_ASSERT(meter.Max() >= kRate * 7);
   });
 }
 
@@ -168,64 +175,65 @@
     const double units = *rc::gen::inRange(20, 80);
     const auto addresses = Addresses(entries);
     QuotaFloors committed;
-    std::optional<QuotaBank> bank(
-      std::in_place, Bounds(), kGrantor, 1, committed, At(0));
-    bank->Use({ MakeCustomer() }, At(0));
-    bank->UseEntries(addresses, At(0));
-    std::vector<QuotaGate> gates(entries);
-    Meter meter;
+    std::optional<QuotaAllocator> allocator(
+      std::in_place, Bounds(), kAllocatorId, 1, committed, At(0));
+    allocator->SetCustomers({ MakeCustomer() }, At(0));
+    allocator->SetEntries(addresses, At(0));
+    std::vector<QuotaClient> clients(entries);
+    WindowMeter meter;
     for (int ms = 0; ms < 30000; ms += 10) {
       if (ms >= lostAt && ms < backAt) {
-        bank.reset();
-      } else if (!bank) {
-        bank.emplace(Bounds(), kGrantor + 1, 2, committed, At(ms));
-        bank->Use({ MakeCustomer() }, At(ms));
-        bank->UseEntries(addresses, At(ms));
+        allocator.reset();
+      } else if (!allocator) {
+        allocator.emplace(Bounds(), kAllocatorId + 1, 2, committed, At(ms));
+        allocator->SetCustomers({ MakeCustomer() }, At(ms));
+        allocator->SetEntries(addresses, At(ms));
       }
       const auto which = static_cast<std::size_t>(ms / 10) % entries;
-      QuotaGate& gate = gates[which];
-      if (bank) {
-        Commit(*bank, committed, At(ms));
+      QuotaClient& client = clients[which];
+      if (allocator) {
+        CommitFloors(*allocator, committed, At(ms));
         if (ms % 270 < 90) {
-          gate.TakeLease(bank->Renew(addresses[which], gate.Lease(), At(ms)),
-                         At(ms));
+          client.HandleLease(
+            allocator->Renew(addresses[which], client.Lease(), At(ms)), At(ms));
         }
       }
       if (ms < lostAt - 3000 && ms % 500 != 0) {
         continue;
       }
-      const auto answer = gate.Take(MakeCustomer(), units, At(ms));
+      const auto answer = client.Acquire(MakeCustomer(), units, At(ms));
       bool granted = answer.mOutcome == QuotaOutcome::kGranted;
-      if (answer.mOutcome == QuotaOutcome::kAsked && bank) {
-        for (const auto& one :
-             gate.TakeGrant(bank->Ask(kFrom, answer.mAsk, At(ms)))) {
+      if (answer.mOutcome == QuotaOutcome::kPending && allocator) {
+        for (const auto& one : client.HandleResponse(
+               allocator->HandleRequest(kEntry, answer.mRequest, At(ms)))) {
           granted = granted || one.mGranted;
         }
       }
       meter.Add(ms, granted ? units : 0.0);
-      for (QuotaGate& other : gates) {
+      for (QuotaClient& other : clients) {
         for (const auto& one : other.Tick(At(ms))) {
           meter.Add(ms, one.mGranted ? units : 0.0);
         }
       }
     }
-    RC_ASSERT(meter.Most() <= (kRate * 8 + kRate) * 1.1 + kSlack);
+    RC_ASSERT(meter.Max() <= (kRate * 8 + kRate) * 1.1 + kSlack);
   });
 }
 
 TEST_CASE("ACustomerBelowItsLimitIsNotRefusedHoweverUnevenlyItAsks")
 {
-  QuotaBank bank = MakeBank();
+  QuotaAllocator allocator = MakeAllocator();
   QuotaFloors committed;
   int refused = 0;
   for (int ms = 0; ms < 40000; ms += 500) {
     for (int since = 0; since < 500; since += 50) {
-      Commit(bank, committed, At(ms - 500 + since));
+      CommitFloors(allocator, committed, At(ms - 500 + since));
     }
     const std::uint64_t units = ms % 4000 == 0 ? 1200 : 190;
     // A new bank is not full; after a few seconds it is as full as it gets.
     const bool granted =
-      AskFor(bank, committed, static_cast<double>(units), At(ms)).mGranted;
+      RequestUnits(allocator, committed, static_cast<double>(units), At(ms))
+        .mGranted;
     refused += granted || ms < 4000 ? 0 : 1;
   }
   CHECK(refused == 0);
@@ -237,17 +245,18 @@
 {
   constexpr double kUsed = kRate / 1.8;
   constexpr double kUnits = 25.0;
-  QuotaBank bank = MakeBank();
+  QuotaAllocator allocator = MakeAllocator();
   QuotaFloors committed;
   int asked = 0;
   int refused = 0;
-  double due = 0.0;
+  double proposed = 0.0;
   for (int ms = 0; ms < 1000; ++ms) {
-    Commit(bank, committed, At(ms));
-    due += kUsed / 1000 + (ms < 333 ? 1.5 * kUsed / 333 : 0.0);
-    for (; due >= kUnits; due -= kUnits) {
+    CommitFloors(allocator, committed, At(ms));
+    proposed += kUsed / 1000 + (ms < 333 ? 1.5 * kUsed / 333 : 0.0);
+    for (; proposed >= kUnits; proposed -= kUnits) {
       ++asked;
-      refused += AskFor(bank, committed, kUnits, At(ms)).mGranted ? 0 : 1;
+      refused +=
+        RequestUnits(allocator, committed, kUnits, At(ms)).mGranted ? 0 : 1;
     }
   }
   INFO(refused << " of " << asked << " refused; 28 of 55 by an empty account");
@@ -256,89 +265,106 @@
 
 TEST_CASE("ARefusalSaysWhenSoManyUnitsAreThereAgain")
 {
-  QuotaBank bank = MakeBank();
+  QuotaAllocator allocator = MakeAllocator();
   QuotaFloors committed;
   std::uint32_t wait = 0;
   for (int i = 0; i < 100 && wait == 0; ++i) {
-    Commit(bank, committed, At(0));
-    wait = AskFor(bank, committed, 500, At(0)).mComeBackMs;
+    CommitFloors(allocator, committed, At(0));
+    wait = RequestUnits(allocator, committed, 500, At(0)).mRetryAfterMs;
   }
   REQUIRE(wait > 0);
   for (int ms = 0; ms < static_cast<int>(wait); ms += 50) {
-    Commit(bank, committed, At(ms));
+    CommitFloors(allocator, committed, At(ms));
   }
-  CHECK(AskFor(bank, committed, 500, At(static_cast<int>(wait))).mGranted);
+  CHECK(RequestUnits(allocator, committed, 500, At(static_cast<int>(wait)))
+          .mGranted);
 }
 
 TEST_CASE("ALowerLimitTakesEffectAtOnceAHigherOneDoesNotFillUp")
 {
-  QuotaBank bank = MakeBank();
+  QuotaAllocator allocator = MakeAllocator();
   Customer customer = MakeCustomer();
   customer.mRatePerSecond = 10;
   customer.mBurst = 10;
-  bank.Use({ customer }, At(10));
+  allocator.SetCustomers({ customer }, At(10));
   QuotaFloors committed;
   double given = 0;
   for (int i = 0; i < 200; ++i) {
-    Commit(bank, committed, At(20));
-    given += AskFor(bank, committed, 50, At(20)).mGranted ? 50 : 0;
+    CommitFloors(allocator, committed, At(20));
+    given += RequestUnits(allocator, committed, 50, At(20)).mGranted ? 50 : 0;
   }
   CHECK(given <= 0.7 * kSlack + 100);
 }
 
 TEST_CASE("AGateWaitsForANewLeaderAndThenRefusesUntilOneAnswers")
 {
-  QuotaGate gate;
+  QuotaClient client;
   const Customer customer = MakeCustomer();
-  const auto first = gate.Take(customer, 100, At(0));
-  REQUIRE(first.mOutcome == QuotaOutcome::kAsked);
-  CHECK(gate.Tick(At(100)).empty());
-  REQUIRE(gate.AskAgain().mLines.size() == 1);
-  CHECK(gate.AskAgain().mLines.front() == first.mAsk.mLines.front());
-  const auto decided = gate.Tick(At(850));
+  const auto first = client.Acquire(customer, 100, At(0));
+  REQUIRE(first.mOutcome == QuotaOutcome::kPending);
+  CHECK(client.Tick(At(100)).empty());
+  REQUIRE(client.PendingRequest().mItems.size() == 1);
+  CHECK(client.PendingRequest().mItems.front() ==
+        first.mRequest.mItems.front());
+  const auto decided = client.Tick(At(850));
   REQUIRE(decided.size() == 1);
   CHECK_FALSE(decided.front().mGranted);
-  CHECK(decided.front().mComeBack > Duration(0));
+  CHECK(decided.front().mRetryAfter > Duration(0));
   // Silent for long: refused at once, and asked from time to time only.
-  CHECK(gate.Take(customer, 100, At(1300)).mOutcome == QuotaOutcome::kAsked);
-  CHECK(gate.Take(customer, 100, At(1310)).mOutcome == QuotaOutcome::kRefused);
-  gate.TakeGrant({});
-  CHECK(gate.Take(customer, 100, At(1320)).mOutcome == QuotaOutcome::kAsked);
+  CHECK(client.Acquire(customer, 100, At(1300)).mOutcome ==
+        QuotaOutcome::kPending);
+  CHECK(client.Acquire(customer, 100, At(1310)).mOutcome ==
+        QuotaOutcome::kRefused);
+  client.HandleResponse({});
+  CHECK(client.Acquire(customer, 100, At(1320)).mOutcome ==
+        QuotaOutcome::kPending);
 }
 
 // Guards against an own part that is used beside the leader's, or before it is
 // there.
 TEST_CASE("AnEntryUsesItsOwnPartOnlyOnceItsLeaseHasEnded")
 {
-  QuotaGate gate;
+  QuotaClient client;
   const Customer customer = MakeCustomer();
-  gate.TakeLease({ .mGrantor = kGrantor, .mNumber = 1, .mParts = 4 }, At(0));
-  CHECK(gate.Take(customer, 1, At(990)).mOutcome == QuotaOutcome::kAsked);
-  CHECK(gate.Take(customer, 1, At(1010)).mOutcome == QuotaOutcome::kGranted);
-  CHECK(gate.Take(customer, 10, At(1010)).mOutcome == QuotaOutcome::kAsked);
+  client.HandleLease(
+    { .mAllocatorId = kAllocatorId, .mNumber = 1, .mFallbackDivisor = 4 },
+    At(0));
+  CHECK(client.Acquire(customer, 1, At(990)).mOutcome ==
+        QuotaOutcome::kPending);
+  CHECK(client.Acquire(customer, 1, At(1010)).mOutcome ==
+        QuotaOutcome::kGranted);
+  CHECK(client.Acquire(customer, 10, At(1010)).mOutcome ==
+        QuotaOutcome::kPending);
   // A second of a fourth of the rate is saved up, and no more.
-  CHECK(gate.Take(customer, 251, At(5000)).mOutcome != QuotaOutcome::kGranted);
-  CHECK(gate.Take(customer, 250, At(5000)).mOutcome == QuotaOutcome::kGranted);
-  gate.TakeLease({ .mGrantor = kGrantor, .mNumber = 2, .mParts = 4 }, At(5500));
-  CHECK(gate.Take(customer, 1, At(5500)).mOutcome == QuotaOutcome::kAsked);
+  CHECK(client.Acquire(customer, 251, At(5000)).mOutcome !=
+        QuotaOutcome::kGranted);
+  CHECK(client.Acquire(customer, 250, At(5000)).mOutcome ==
+        QuotaOutcome::kGranted);
+  client.HandleLease(
+    { .mAllocatorId = kAllocatorId, .mNumber = 2, .mFallbackDivisor = 4 },
+    At(5500));
+  CHECK(client.Acquire(customer, 1, At(5500)).mOutcome ==
+        QuotaOutcome::kPending);
 }
 
 // Guards against a request that is counted twice when its answer comes late.
 TEST_CASE("AGateReturnsWhatItIsGrantedForRequestsThatNoLongerWait")
 {
-  QuotaGate gate;
-  QuotaBank bank = MakeBank();
+  QuotaClient client;
+  QuotaAllocator allocator = MakeAllocator();
   const Customer customer = MakeCustomer();
-  const auto answer = gate.Take(customer, 100, At(0));
-  const QuotaGrant grant = bank.Ask(kFrom, answer.mAsk, At(100));
-  REQUIRE(gate.Tick(At(850)).size() == 1);
-  CHECK(gate.TakeGrant(grant).empty());
-  CHECK(gate.LateUnits() >= 100);
-  const auto returns = gate.TakeReturns();
+  const auto answer = client.Acquire(customer, 100, At(0));
+  const QuotaResponse response =
+    allocator.HandleRequest(kEntry, answer.mRequest, At(100));
+  REQUIRE(client.Tick(At(850)).size() == 1);
+  CHECK(client.HandleResponse(response).empty());
+  CHECK(client.LateUnits() >= 100);
+  const auto returns = client.TakePendingReturns();
   REQUIRE(returns.has_value());
-  CHECK(returns->mReturns.front().mGrantor == kGrantor);
-  CHECK_FALSE(gate.TakeReturns().has_value());
-  CHECK(gate.Take(customer, 100, At(851)).mOutcome == QuotaOutcome::kAsked);
+  CHECK(returns->mReturns.front().mAllocatorId == kAllocatorId);
+  CHECK_FALSE(client.TakePendingReturns().has_value());
+  CHECK(client.Acquire(customer, 100, At(851)).mOutcome ==
+        QuotaOutcome::kPending);
 }
 
 // Guards against returned units that are used beside what the account has
@@ -346,24 +372,26 @@
 TEST_CASE("ALeaderPutsBackOnlyWhatItsAccountHasNotGainedMeanwhile")
 {
   const auto granted = [](int aReturnedAtMs) {
-    QuotaBank bank = MakeBank();
+    QuotaAllocator allocator = MakeAllocator();
     QuotaFloors committed;
     const CustomerName name("c");
     double given = 0;
     const auto drain = [&](int aMs) {
       for (int i = 0; i < 200; ++i) {
-        given += AskFor(bank, committed, 100, At(aMs)).mGranted ? 100 : 0;
+        given +=
+          RequestUnits(allocator, committed, 100, At(aMs)).mGranted ? 100 : 0;
       }
     };
-    const auto grant =
-      bank.Ask(kFrom, { .mLines = { { name, 500, 1 } } }, At(0));
+    const auto response = allocator.HandleRequest(
+      kEntry, { .mItems = { { name, 500, 1 } } }, At(0));
     drain(0);
     for (int ms = 50; ms <= aReturnedAtMs; ms += 50) {
-      Commit(bank, committed, At(ms));
+      CommitFloors(allocator, committed, At(ms));
     }
-    bank.Ask(kFrom,
-             { .mReturns = { { kGrantor, grant.mGrantedAt, name, 500 } } },
-             At(aReturnedAtMs));
+    allocator.HandleRequest(
+      kEntry,
+      { .mReturns = { { kAllocatorId, response.mGrantedAt, name, 500 } } },
+      At(aReturnedAtMs));
     given = 0;
     drain(aReturnedAtMs);
     return given;
@@ -377,82 +405,85 @@
 // Guards against a new leader that grants what an earlier one has granted.
 TEST_CASE("ANewLeaderBeginsWithTheCommittedFloors")
 {
-  QuotaBank first = MakeBank();
+  QuotaAllocator first = MakeAllocator();
   QuotaFloors committed;
   double given = 0;
-  const auto drain = [&](QuotaBank& aBank) {
+  const auto drain = [&](QuotaAllocator& aAllocator) {
     for (int i = 0; i < 200; ++i) {
-      given += AskFor(aBank, committed, 100, At(10)).mGranted ? 100 : 0;
+      given +=
+        RequestUnits(aAllocator, committed, 100, At(10)).mGranted ? 100 : 0;
     }
   };
   drain(first);
-  const double most = given;
-  CHECK(most >= 2 * kRate);
-  QuotaBank second(Bounds(), kGrantor + 1, 2, committed, At(10));
-  second.Use({ MakeCustomer() }, At(10));
+  const double firstTotal = given;
+  CHECK(firstTotal >= 2 * kRate);
+  QuotaAllocator second(Bounds(), kAllocatorId + 1, 2, committed, At(10));
+  second.SetCustomers({ MakeCustomer() }, At(10));
   drain(second);
-  CHECK(given <= most + 100);
+  CHECK(given <= firstTotal + 100);
 }
 
 // Guards against floors that are used before they are committed.
 TEST_CASE("ALeaderGrantsNothingBelowTheCommittedFloor")
 {
-  QuotaBank bank = MakeBank();
-  const QuotaAsk ask{ .mLines = { { CustomerName("c"), 100, 1 } } };
-  const auto drain = [&](QuotaBank& aBank) {
+  QuotaAllocator allocator = MakeAllocator();
+  const QuotaRequest request{ .mItems = { { CustomerName("c"), 100, 1 } } };
+  const auto drain = [&](QuotaAllocator& aAllocator) {
     double given = 0;
     for (int i = 0; i < 200; ++i) {
-      for (const auto& verdict : aBank.Ask(kFrom, ask, At(10)).mVerdicts) {
-        given += verdict.mGranted ? 100 : 0;
+      for (const auto& result :
+           aAllocator.HandleRequest(kEntry, request, At(10)).mResults) {
+        given += result.mGranted ? 100 : 0;
       }
     }
     return given;
   };
-  const double given = drain(bank);
-  const auto due = bank.Due(At(10));
-  REQUIRE(due.has_value());
-  CHECK(drain(bank) == 0);
-  QuotaBank next(Bounds(), kGrantor + 1, 2, QuotaFloors{}, At(10));
-  next.Use({ MakeCustomer() }, At(10));
+  const double given = drain(allocator);
+  const auto proposed = allocator.ProposeFloors(At(10));
+  REQUIRE(proposed.has_value());
+  CHECK(drain(allocator) == 0);
+  QuotaAllocator next(Bounds(), kAllocatorId + 1, 2, QuotaFloors{}, At(10));
+  next.SetCustomers({ MakeCustomer() }, At(10));
   const double limit = (kRate * 8 + kRate) * 1.1 + kSlack;
   CHECK(given + drain(next) <= limit - kRate * 8);
-  CHECK(bank.TakeAnswered(At(11)).empty());
-  bank.TakeCommitted(*due);
-  const auto answered = bank.TakeAnswered(At(12));
+  CHECK(allocator.TakeDeferredResponses(At(11)).empty());
+  allocator.ApplyCommittedFloors(*proposed);
+  const auto answered = allocator.TakeDeferredResponses(At(12));
   REQUIRE_FALSE(answered.empty());
-  CHECK(answered.front().mGrant.mVerdicts.front().mGranted);
+  CHECK(answered.front().mResponse.mResults.front().mGranted);
 }
 
 // Guards against requests that wait for a disk that doesn't answer.
 TEST_CASE("WhatWaitsForAFloorIsRefusedInTime")
 {
-  QuotaBank bank = MakeBank();
-  const QuotaAsk ask{ .mLines = { { CustomerName("c"), 500, 1 } } };
-  REQUIRE(bank.Ask(kFrom, ask, At(0)).mVerdicts.empty());
-  CHECK(bank.TakeAnswered(At(100)).empty());
-  const auto answered = bank.TakeAnswered(At(350));
+  QuotaAllocator allocator = MakeAllocator();
+  const QuotaRequest request{ .mItems = { { CustomerName("c"), 500, 1 } } };
+  REQUIRE(allocator.HandleRequest(kEntry, request, At(0)).mResults.empty());
+  CHECK(allocator.TakeDeferredResponses(At(100)).empty());
+  const auto answered = allocator.TakeDeferredResponses(At(350));
   REQUIRE(answered.size() == 1);
-  CHECK(answered.front().mTo == kFrom);
-  CHECK_FALSE(answered.front().mGrant.mVerdicts.front().mGranted);
-  CHECK(answered.front().mGrant.mVerdicts.front().mComeBackMs > 0);
+  CHECK(answered.front().mTo == kEntry);
+  CHECK_FALSE(answered.front().mResponse.mResults.front().mGranted);
+  CHECK(answered.front().mResponse.mResults.front().mRetryAfterMs > 0);
 }
 
 TEST_CASE("WhatIsLargerThanAnAccountIsRefusedForLong")
 {
-  QuotaBank bank = MakeBank();
-  const auto verdict =
-    bank.Ask(kFrom, { .mLines = { { CustomerName("c"), 1000000, 1 } } }, At(0))
-      .mVerdicts[0];
-  CHECK_FALSE(verdict.mGranted);
-  CHECK(verdict.mComeBackMs >= 5000);
+  QuotaAllocator allocator = MakeAllocator();
+  const auto result =
+    allocator
+      .HandleRequest(
+        kEntry, { .mItems = { { CustomerName("c"), 1000000, 1 } } }, At(0))
+      .mResults[0];
+  CHECK_FALSE(result.mGranted);
+  CHECK(result.mRetryAfterMs >= 5000);
 }
 
 TEST_CASE("ACustomerWithoutALimitIsNeverAskedFor")
 {
-  QuotaGate gate;
-  CHECK(
-    gate.Take(Customer{ .mName = CustomerName("free") }, 1e9, At(0)).mOutcome ==
-    QuotaOutcome::kGranted);
+  QuotaClient client;
+  CHECK(client.Acquire(Customer{ .mName = CustomerName("free") }, 1e9, At(0))
+          .mOutcome == QuotaOutcome::kGranted);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/UsageTest.cpp
+++ b/test/gateway/UsageTest.cpp
@@ -1,7 +1,7 @@
 // ctest-labels: unit
 #include "peridotspool/fleet/UsageDesk.h"
-#include "peridotspool/gateway/CommonClock.h"
-#include "peridotspool/gateway/UsageTally.h"
+#include "peridotspool/gateway/MedianClock.h"
+#include "peridotspool/gateway/UsageCounter.h"
 
 #include <catch2/catch.hpp>
 
@@ -31,13 +31,14 @@
 // Cause: windows were cut by the leader's own time of day.
 TEST_CASE("CommonClockFollowsMostClocksNotTheOneThatJumped")
 {
-  CommonClock clock;
+  MedianClock clock;
   CHECK_FALSE(clock.Micros(At(0)));
   for (std::uint64_t process = 0; process < 5; ++process) {
-    clock.Take(process, Micros(1000000) + 300 * std::int64_t(process), At(0));
+    clock.RecordReading(
+      process, Micros(1000000) + 300 * std::int64_t(process), At(0));
   }
-  clock.Take(0, Micros(1002400), At(0));
-  clock.Take(1, Micros(998000), At(0));
+  clock.RecordReading(0, Micros(1002400), At(0));
+  clock.RecordReading(1, Micros(998000), At(0));
   const auto micros = clock.Micros(At(100));
   REQUIRE(micros);
   CHECK(std::abs(*micros - Micros(1000100)) < 1500);
@@ -45,12 +46,12 @@
 
 TEST_CASE("UsageTallyCountsByTheCommonTime")
 {
-  UsageTally tally(kWindow, 1);
-  tally.TakeTime(Micros(12000), At(0));
+  UsageCounter counter(kWindow, 1);
+  counter.SetMedianTime(Micros(12000), At(0));
   // The own time of day is wrong by an hour.
-  tally.Count(kCustomer, Micros(3600000), At(2999));
-  tally.Count(kCustomer, Micros(3600000), At(3001));
-  const UsageReport report = tally.Report(0);
+  counter.Count(kCustomer, Micros(3600000), At(2999));
+  counter.Count(kCustomer, Micros(3600000), At(3001));
+  const UsageReport report = counter.Report(0);
   REQUIRE(report.mWindows.size() == 2);
   CHECK(report.mWindows[0].mNumber == 2);
   CHECK(report.mWindows[1].mNumber == 3);
@@ -59,9 +60,9 @@
 TEST_CASE("UsageDeskAddsUpLivesAndTakesEachOnesNewestReport")
 {
   fleet::UsageDesk desk(kWindow, std::chrono::seconds(6));
-  const auto report = [](std::uint64_t aLife, std::uint64_t aCount) {
+  const auto report = [](std::uint64_t aIncarnation, std::uint64_t aCount) {
     return UsageReport{
-      .mLife = aLife,
+      .mEntryIncarnation = aIncarnation,
       .mWindows = { { .mNumber = 3, .mCounts = { { kCustomer, aCount } } } }
     };
   };
@@ -83,9 +84,9 @@
 TEST_CASE("AWindowWaitsForEntriesThatAreCutOffAsLongAsItCan")
 {
   fleet::UsageDesk desk(kWindow, std::chrono::seconds(6));
-  const auto report = [](std::uint64_t aLife, std::uint64_t aCount) {
+  const auto report = [](std::uint64_t aIncarnation, std::uint64_t aCount) {
     return UsageReport{
-      .mLife = aLife,
+      .mEntryIncarnation = aIncarnation,
       .mWindows = { { .mNumber = 3, .mCounts = { { kCustomer, aCount } } } }
     };
   };
--- a/test/platform/ConfigDocumentTest.cpp
+++ b/test/platform/ConfigDocumentTest.cpp
@@ -57,7 +57,7 @@
   const auto* service = table->Service(ServiceName("s1"));
   REQUIRE(service != nullptr);
   CHECK(service->mEngine->mSlots == 64);
-  CHECK(service->mScaling->mBoot == std::chrono::seconds(4));
+  CHECK(service->mScaling->mBootTime == std::chrono::seconds(4));
   CHECK(service->mScaling->mPrices.at(FailureDomain("z2")) == 0.8);
   const auto* customer = table->CustomerOf("k2");
   REQUIRE(customer != nullptr);
--- a/test/platform/HostileInputTest.cpp
+++ b/test/platform/HostileInputTest.cpp
@@ -184,10 +184,10 @@
       spoiler.OtherBytes("5c1e07a2:800,91bd3f06:410,e4402b7d:250");
     const auto read = gateway::ReadPromptParts(parts);
     CHECK(read.mParts.size() <= 16);
-    const auto counts =
-      gateway::ReadTokenCounts(spoiler.OtherBytes("1460,18446744073709551615"));
+    const auto counts = gateway::ParseTokenCounts(
+      spoiler.OtherBytes("1460,18446744073709551615"));
     if (counts) {
-      gateway::LongestTime(*counts);
+      gateway::MaxGenerationTime(*counts);
     }
     gateway::BearerOf(spoiler.OtherBytes("Bearer i9n73hh2b9wu3fexd9dn"));
     ReadContentId(spoiler.OtherBytes("474be0b2072716924b90681280302f3a"));
