--- a/include/peridotspool/gateway/AttemptPolicy.h
+++ b/include/peridotspool/gateway/AttemptPolicy.h
@@ -6,45 +6,46 @@
 
 namespace peridotspool::gateway {
 
-/** How far one request has come. */
+/** The progress of one request over its attempts. */
 struct AttemptState
 {
   RequestKind mKind = RequestKind::kNonIdempotent;
+  /** Set if a stream can be resumed at another upstream. */
   bool mResumable = false;
-  /** Upstreams that may have begun to run it. */
+  /** Upstreams that may have started to execute the request. */
   std::uint32_t mRuns = 0;
   std::uint32_t mMaxAttempts = 1;
-  /** Upstreams that were asked and surely did not run it. */
+  /** Upstreams that received an attempt and certainly did not execute it. */
   std::uint32_t mRefusals = 0;
-  /** The caller has a part of the answer. */
+  /** Set once part of the response has been sent to the caller. */
   bool mBegun = false;
-  /** Enough time is left for another upstream. */
+  /** Set if the deadline leaves enough time for another attempt. */
   bool mTimeLeft = true;
 };
 
 enum class NextStep
 {
-  /** Send it to another upstream, if the budget of repeats allows it. */
+  /** Send the request to another upstream if the retry budget allows it. */
   kRetryElsewhere,
-  /** Tell the caller that it did not run, and when to come back. */
+  /** Report that the request was not executed, and when to retry. */
   kRefuse,
-  /** Tell the caller that it failed, and may have run. */
+  /** Report that the request failed and may have been executed. */
   kFail,
-  /** End the connection: the answer under way can't be made whole. */
+  /** Close the connection: a partly sent response cannot be completed. */
   kAbort,
-  /** Hand the upstream's own answer on. */
+  /** Forward the upstream's error response to the caller. */
   kForward,
 };
 
-/** The last upstream said, or is known, not to have run the request. */
+/** The last upstream certainly did not execute the request. */
 NextStep
 AfterNotExecuted(const AttemptState& aState);
 
-/** The last upstream may have run the request, and its answer is lost. */
+/** The last upstream may have executed the request; its response is lost. */
 NextStep
 AfterLostResponse(const AttemptState& aState);
 
-/** The last upstream ran the request and says that it failed. */
+/** The last upstream executed the request and returned an error. */
 NextStep
 AfterUpstreamError(const AttemptState& aState);
 
--- a/include/peridotspool/gateway/Customer.h
+++ b/include/peridotspool/gateway/Customer.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::gateway {
 
-/** What a customer's limit counts. */
+/** The unit in which a customer's limit is counted. */
 enum class QuotaUnit
 {
   kRequests,
@@ -21,12 +21,12 @@
 {
   CustomerName mName;
   std::vector<std::string> mKeys;
-  /** Goes before a route's priority. */
+  /** Overrides the route's priority. */
   std::optional<std::uint32_t> mPriority;
   QuotaUnit mUnit = QuotaUnit::kRequests;
-  /** What a request without a token count counts, in tokens. */
+  /** Tokens charged for a request that carries no token count. */
   double mDefaultTokens = 1.0;
-  /** For all entries together; 0 for no limit. */
+  /** The limit for all entries together; 0 means unlimited. */
   double mRatePerSecond = 0.0;
   double mBurst = 0.0;
 
--- a/include/peridotspool/gateway/MedianClock.h
+++ b/include/peridotspool/gateway/MedianClock.h
@@ -9,24 +9,25 @@
 namespace peridotspool::gateway {
 
 /**
- * The time of day that most processes agree on. Some clocks may jump by
- * seconds, the leader's own among them; the median of all does not.
+ * The median of all processes' wall clocks. A single clock, also the leader's
+ * own, may jump by seconds; the median does not follow it.
  *
- * A pure step. Not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class MedianClock
 {
 public:
-  /** Takes a process's time of day, read just now. */
+  /** Records a process's wall clock time, as received at aNow. */
   void RecordReading(std::uint64_t aProcess,
                      std::int64_t aMicros,
                      TimePoint aNow);
-  /** Returns empty until a process has told its time. */
+  /** Returns the median wall clock time; empty before the first reading. */
   std::optional<std::int64_t> Micros(TimePoint aNow) const;
 
 private:
   struct Reading
   {
+    /** Wall clock less the local monotonic clock, in microseconds. */
     std::int64_t mOffset = 0;
     TimePoint mReadAt;
   };
--- a/include/peridotspool/gateway/PeerMessage.h
+++ b/include/peridotspool/gateway/PeerMessage.h
@@ -16,10 +16,10 @@
 
 namespace peridotspool::gateway {
 
-/** Requests that upstreams began for each customer in one window. */
+/** Requests that upstreams started to execute in one window, by customer. */
 struct UsageWindow
 {
-  /** Begins this many window lengths after the start of 1970. */
+  /** The window starts this many window lengths after the Unix epoch. */
   std::uint64_t mNumber = 0;
   std::map<CustomerName, std::uint64_t> mCounts;
 
@@ -27,23 +27,23 @@
 };
 BOOST_DESCRIBE_STRUCT(UsageWindow, (), (mNumber, mCounts))
 
-/** An entry's counts of its last windows; each report replaces the last one. */
+/** An entry's status and recent counts; replaces its previous report. */
 struct UsageReport
 {
-  /** Names one life of the entry's process. */
+  /** Identifies one incarnation of the entry's process. */
   std::uint64_t mEntryIncarnation = 0;
-  /** The entry's time of day when it sent this, in microseconds. */
+  /** The entry's wall clock when it sent this, in microseconds. */
   std::int64_t mWallMicros = 0;
   std::vector<UsageWindow> mWindows;
-  /** Requests that the entry has at each service's upstreams now. */
+  /** Requests that the entry has running at each service's upstreams. */
   std::map<ServiceName, std::uint64_t> mRunning;
-  /** The last change to the quarantine that the entry knows. */
+  /** Number of the last quarantine change that the entry knows. */
   std::uint64_t mQuarantine = 0;
-  /** Contents that it has refused since the last report. */
+  /** Quarantined contents that the entry refused since its last report. */
   std::vector<ContentId> mResubmittedContents;
-  /** The last start or end of a rollout that the entry knows. */
+  /** Number of the last start or end of a rollout that the entry knows. */
   std::uint64_t mRollouts = 0;
-  /** The newest lease that the entry has taken. */
+  /** The newest lease that the entry holds. */
   QuotaLease mQuotaLease;
 
   auto operator<=>(const UsageReport&) const = default;
@@ -59,7 +59,7 @@
                        mRollouts,
                        mQuotaLease))
 
-/** What most processes take for the time of day, when the leader sent this. */
+/** The median of the processes' wall clocks when the leader sent this. */
 struct MedianTime
 {
   std::int64_t mMicros = 0;
@@ -68,7 +68,7 @@
 };
 BOOST_DESCRIBE_STRUCT(MedianTime, (), (mMicros))
 
-/** Between entries, and between them and the control leader. */
+/** Messages between entries, and between entries and the control leader. */
 using PeerMessage = std::variant<QuotaRequest,
                                  QuotaResponse,
                                  UsageReport,
--- a/include/peridotspool/gateway/PrefetchedQuota.h
+++ b/include/peridotspool/gateway/PrefetchedQuota.h
@@ -7,12 +7,15 @@
 
 namespace peridotspool::gateway {
 
-/** Units that the leader granted to an entry for requests to come. */
+/** Units that the leader granted to an entry in advance of requests. */
 class PrefetchedQuota
 {
 public:
   void Add(double aUnits, TimePoint aExpiresAt);
-  /** Takes all of them or none; returns when the first of them would lapse. */
+  /**
+   * Takes aUnits, or nothing if fewer are left. Returns when the first of the
+   * taken units would have expired; empty if nothing was taken.
+   */
   std::optional<TimePoint> TryTake(double aUnits, TimePoint aNow);
 
 private:
@@ -22,7 +25,7 @@
     double mUnits = 0.0;
   };
 
-  /** By the time at which they lapse. */
+  /** Sorted by expiry. */
   std::deque<Lot> mLots;
 };
 
--- a/include/peridotspool/gateway/QuotaAllocator.h
+++ b/include/peridotspool/gateway/QuotaAllocator.h
@@ -15,27 +15,30 @@
 
 namespace peridotspool::gateway {
 
+/** A deferred response and the entry that it is sent to. */
 struct AddressedQuotaResponse
 {
   Address mTo;
   QuotaResponse mResponse;
 };
 
+/** How strictly limits are enforced. */
 struct QuotaBounds
 {
-  /** A limit is held over every window of this length. */
+  /** Limits hold over every window of this length. */
   Duration mWindow = std::chrono::seconds(8);
-  /** How far over its limit a customer may come, as a part and in units. */
+  /** Tolerated excess over the limit, as a fraction of it. */
   double mOvershoot = 0.1;
+  /** Tolerated excess over the limit besides, in units. */
   double mSlack = 0.0;
 };
 
-/** What one customer was granted and refused since the last such figures. */
+/** Units granted and refused to a customer since the previous statistics. */
 struct QuotaStatistics
 {
   CustomerName mCustomer;
   std::uint64_t mGranted = 0;
-  /** Of mGranted, for no request in particular. */
+  /** The part of mGranted that entries prefetched. */
   std::uint64_t mPrefetched = 0;
   std::uint64_t mRefused = 0;
   double mBalance = 0.0;
@@ -43,64 +46,73 @@
 };
 
 /**
- * The customers' limits, kept by the control leader for all entries.
+ * Enforces the customers' limits for all entries; runs on the control leader.
  *
- * The units that a customer may still use, wherever they are kept, never exceed
- * what its account may hold: the balance here, stock at entries, and what
- * entries without a lease may have saved of their own parts. They grow by the
- * limit's rate, here or there, but not at both. So no window of any length lets
- * more through than a full account and the rate over that window, whoever is
- * lost. A new leader begins with the committed floors: no earlier one let a
- * balance fall below its floor.
+ * Each customer has an account. Its unused units are the balance here, the
+ * units that entries have prefetched, and the units that entries without a
+ * lease may have accrued from their fallback shares. Their sum never exceeds
+ * the account's maximum balance. Units accrue at the limit's rate, and each
+ * part of that rate accrues either here or at an entry, never at both. A window
+ * of any length therefore admits at most a full account plus the rate over that
+ * window, whichever processes fail.
  *
- * A pure step. Not thread-safe.
+ * A new leader starts each balance at its committed floor. No earlier leader
+ * granted below that floor, so none of these units has been granted before.
+ *
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class QuotaAllocator
 {
 public:
-  /** @param aAllocatorId names this time in the lead; random */
+  /** @param aAllocatorId random; identifies this leadership */
   QuotaAllocator(QuotaBounds aBounds,
                  std::uint64_t aAllocatorId,
                  std::uint64_t aTerm,
                  QuotaFloors aCommitted,
                  TimePoint aNow);
 
-  /** Takes the customers' limits of the newest settings. */
+  /** Applies the customers' limits of the newest settings. */
   void SetCustomers(const std::vector<Customer>& aCustomers, TimePoint aNow);
-  /** Takes the members of the newest epoch. */
+  /** Sets the members of the newest epoch. */
   void SetEntries(const std::vector<Address>& aEntries, TimePoint aNow);
-  /** Takes the newest committed floors; returns true iff they are new. */
+  /** Applies the newest committed floors; returns true iff they changed. */
   bool ApplyCommittedFloors(const QuotaFloors& aCommitted);
-  /** Takes an entry's report; returns its next lease. */
+  /** Processes the lease that an entry reports; returns its next lease. */
   QuotaLease Renew(const Address& aEntry,
                    const QuotaLease& aHeld,
                    TimePoint aNow);
-  /** Leaves out what waits; see TakeDeferredResponses. */
+  /** Omits deferred items from the response; see TakeDeferredResponses. */
   QuotaResponse HandleRequest(const Address& aFrom,
                               const QuotaRequest& aRequest,
                               TimePoint aNow);
   /**
-   * Answers to what waited for a floor to be committed, or for entries to
-   * confirm a new leader's leases, whether that has come or not in time.
+   * Returns responses to deferred items. An item is deferred until a lower
+   * floor is committed or entries have confirmed a new leader's leases, and
+   * refused if that takes too long.
    */
   std::vector<AddressedQuotaResponse> TakeDeferredResponses(TimePoint aNow);
-  /** At least ten times a second, and after Ask: floors to be committed. */
+  /**
+   * Returns floors to commit to the control log, if any. Call at least ten
+   * times a second and after each HandleRequest.
+   */
   std::optional<QuotaFloors> ProposeFloors(TimePoint aNow);
 
   bool HasLimits() const { return !mAccounts.empty(); }
-  /** Customers that were refused something since the last call. */
+  /** Returns the customers with refused units since the last call. */
   std::vector<QuotaStatistics> TakeStatistics();
-  /** The part of the limits' rate that is given here. */
+  /** Returns the fraction of each limit's rate that accrues here. */
   double LeaderShare() const { return 1.0 - mLeases.FallbackShare(); }
   const QuotaLeases& Leases() const { return mLeases; }
 
 private:
+  /** A request item that is neither granted nor refused yet. */
   struct DeferredItem
   {
     Address mFrom;
     QuotaRequestItem mItem;
     TimePoint mDeferredAt;
   };
+  /** Prefetched units that an entry may still hold. */
   struct PrefetchedLot
   {
     TimePoint mExpiresAt;
@@ -111,15 +123,16 @@
     double mRate = 0.0;
     double mMaxBalance = 0.0;
     double mBalance = 0.0;
-    /** mFlow up to which mBalance has grown. */
+    /** The value of mAccruedSeconds that mBalance includes. */
     double mCreditedSeconds = 0.0;
-    /** The highest floor that may be committed. */
+    /** The highest floor that may be committed at present. */
     double mFloor = 0.0;
     std::deque<PrefetchedLot> mPrefetched;
+    /** The sum over mPrefetched. */
     double mPrefetchedUnits = 0.0;
-    /** Units of the largest request that waits for a lower floor. */
+    /** Units of the largest request that is deferred for a lower floor. */
     double mLargestDeferred = 0.0;
-    /** Set while the settings don't name the customer. */
+    /** Set while the settings don't contain the customer. */
     std::optional<TimePoint> mRemovedAt;
     QuotaStatistics mStatistics;
   };
@@ -133,7 +146,7 @@
   void AddUnits(Account& aAccount, double aUnits, TimePoint aNow) const;
   void ApplyReturn(const QuotaReturn& aReturn, TimePoint aNow);
   QuotaResponse MakeResponse(TimePoint aNow) const;
-  /** Unset: it waits, see TakeDeferredResponses. */
+  /** Returns empty if the item has to be deferred. */
   std::optional<QuotaResponseItem> Evaluate(const QuotaRequestItem& aItem,
                                             TimePoint aNow);
   QuotaResponseItem Grant(Account& aAccount,
@@ -150,13 +163,13 @@
   std::uint64_t mAllocatorId;
   QuotaLeases mLeases;
   QuotaFloors mCommitted;
-  /** The newest floors that were given out to be committed. */
+  /** The newest floors that ProposeFloors returned. */
   QuotaFloors mProposed;
   TimePoint mProposedAt;
   TimePoint mScannedAt;
   bool mNeedsLowerFloors = false;
   TimePoint mStartedAt;
-  /** Seconds of each limit's rate that were given here. */
+  /** Seconds of each limit's rate that have accrued here. */
   double mAccruedSeconds = 0.0;
   TimePoint mAccruedAt;
   std::unordered_map<CustomerName, Account> mAccounts;
--- a/include/peridotspool/gateway/QuotaClient.h
+++ b/include/peridotspool/gateway/QuotaClient.h
@@ -14,46 +14,47 @@
 
 namespace peridotspool::gateway {
 
-/** What the gate says of one request. */
+/** The result of acquiring units for one request. */
 enum class QuotaOutcome
 {
   kGranted,
-  /** The leader is asked; the outcome comes with its answer, or in time. */
+  /** The decision follows with the leader's response or after a timeout. */
   kPending,
   kRefused,
 };
 
+/** The immediate decision on one request. */
 struct QuotaDecision
 {
   QuotaOutcome mOutcome = QuotaOutcome::kGranted;
-  /** With kGranted. */
+  /** Set with kGranted. */
   QuotaReceipt mReceipt;
-  /** Names the request in later outcomes; set with kPending. */
+  /** Set with kPending; identifies the request in later decisions. */
   std::uint64_t mTag = 0;
-  /** With kPending: what to send to the leader. */
+  /** Set with kPending: the message to send to the leader. */
   QuotaRequest mRequest;
-  /** With kRefused: when to come back. */
+  /** Set with kRefused: when the caller should retry. */
   Duration mRetryAfter{ 0 };
 };
 
-/** The late outcome of a request that was kPending. */
+/** The decision on a request that was kPending. */
 struct DeferredQuotaDecision
 {
   std::uint64_t mTag = 0;
   bool mGranted = false;
   Duration mRetryAfter{ 0 };
-  /** Granted or not, its source is who decided. */
+  /** Its source tells who decided, also if the request is refused. */
   QuotaReceipt mReceipt;
 };
 
 /**
- * An entry's side of the customers' limits. Each request's units come out of a
- * small stock, or are asked for at the leader. An entry whose lease has ended
- * also has a small part of each limit's rate, which the leader leaves out of
- * what it gives. Nothing is granted before it is there: an entry that has no
- * units refuses.
+ * Enforces the customers' limits in one entry. Units for a request come from
+ * the units that the entry has prefetched or are requested from the leader. An
+ * entry whose lease has expired also accrues a small fallback share of each
+ * limit's rate, which the leader excludes from its own accounts. A request is
+ * granted only from units that are already available; otherwise it is refused.
  *
- * A pure step. Not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class QuotaClient
 {
@@ -61,30 +62,31 @@
   QuotaDecision Acquire(const Customer& aCustomer,
                         double aUnits,
                         TimePoint aNow);
-  /** Takes the leader's answer. */
+  /** Applies the leader's response. */
   std::vector<DeferredQuotaDecision> HandleResponse(
     const QuotaResponse& aResponse);
-  /** About every 50 ms: requests whose answer does not come. */
+  /** Decides requests whose response timed out; call about every 50 ms. */
   std::vector<DeferredQuotaDecision> Tick(TimePoint aNow);
-  /** Returns true iff the lease is of another leader than the one before. */
+  /** Returns true iff the lease comes from a new leader. */
   bool HandleLease(const QuotaLease& aLease, TimePoint aNow);
-  /** The newest lease, for the next report. */
+  /** Returns the newest lease, for the next report. */
   const QuotaLease& Lease() const { return mLease; }
-  /** What to ask a new leader: all that still waits for an answer. */
+  /** Returns the pending items of callers' requests, for a new leader. */
   QuotaRequest PendingRequest() const;
-  /** The request did not run after all. */
+  /** Takes back the units of a request that was granted but not executed. */
   void ReturnUnits(const Customer& aCustomer,
                    double aUnits,
                    const QuotaReceipt& aReceipt,
                    TimePoint aNow);
-  /** What to send to the leader now and then; unset if there is nothing. */
+  /** Returns a message that reports returned units; empty if there are none. */
   std::optional<QuotaRequest> TakePendingReturns();
-  /** The caller of a request that waits has gone. */
+  /** Drops a pending request, for example if its caller disconnected. */
   void Cancel(std::uint64_t aTag);
-  /** Units granted for requests that no longer waited, since the start. */
+  /** Returns the total units granted to requests no longer pending. */
   double LateUnits() const { return mLateUnits; }
 
 private:
+  /** Units accrued from the fallback share of one customer's limit. */
   struct FallbackBalance
   {
     double mUnits = 0.0;
@@ -93,7 +95,7 @@
   struct Account
   {
     PrefetchedQuota mPrefetched;
-    /** Units a second that this entry uses, over the last seconds. */
+    /** Recent usage at this entry, in units per second. */
     double mUsageRate = 0.0;
     TimePoint mUsageRateAt;
   };
@@ -123,16 +125,17 @@
   void QueueReturn(const QuotaReturn& aReturn);
 
   std::unordered_map<CustomerName, Account> mAccounts;
+  /** Items sent to the leader, by tag. */
   std::map<std::uint64_t, PendingItem> mPending;
   std::uint64_t mLastTag = 0;
   std::vector<QuotaReturn> mReturns;
   double mLateUnits = 0.0;
-  /** Since when the leader's answers fail to come. */
+  /** When the first response timed out since the leader's last response. */
   std::optional<TimePoint> mSilentSince;
   TimePoint mProbedAt;
   QuotaLease mLease;
   TimePoint mLeaseEnd;
-  /** Since mLeaseEnd. */
+  /** Accrued since mLeaseEnd. */
   std::unordered_map<CustomerName, FallbackBalance> mFallbackBalances;
 };
 
--- a/include/peridotspool/gateway/QuotaFloors.h
+++ b/include/peridotspool/gateway/QuotaFloors.h
@@ -10,13 +10,13 @@
 namespace peridotspool::gateway {
 
 /**
- * How far the leader may let customers' balances fall, as committed in the
- * control log. A customer that isn't listed has the floor that is implied by
- * its limit (QuotaAllocator).
+ * The lowest balances to which the leader may grant, by customer, as committed
+ * in the control log. A customer that isn't listed has the default floor of its
+ * limit; see QuotaAllocator.
  */
 struct QuotaFloors
 {
-  /** Rises with each change. */
+  /** Increases with each change. */
   std::uint64_t mNumber = 0;
   std::map<CustomerName, std::uint64_t> mUnits;
 
--- a/include/peridotspool/gateway/QuotaLeases.h
+++ b/include/peridotspool/gateway/QuotaLeases.h
@@ -12,32 +12,33 @@
 namespace peridotspool::gateway {
 
 /**
- * The leader's side of the leases that keep entries from using their own parts
- * of the limits. An entry is covered while a lease that it has confirmed can't
- * have ended there; any other one may be using its own part.
+ * Tracks the leases that the leader has sent to entries. An entry doesn't use
+ * its fallback share of the limits while it holds a lease. It counts as leased
+ * while a lease that it has confirmed can't have expired there; any other entry
+ * may be using its fallback share.
  *
- * A pure step. Not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class QuotaLeases
 {
 public:
-  /** @param aAllocatorId names this time in the lead */
+  /** @param aAllocatorId identifies this leadership */
   QuotaLeases(std::uint64_t aAllocatorId, std::uint64_t aTerm);
 
-  /** Takes the members of the newest epoch. */
+  /** Sets the members of the newest epoch. */
   void SetEntries(const std::vector<Address>& aEntries, TimePoint aNow);
-  /** Takes the newest lease that an entry holds, and makes its next one. */
+  /** Records the newest lease that an entry holds; returns its next one. */
   QuotaLease Renew(const Address& aEntry,
                    const QuotaLease& aHeld,
                    TimePoint aNow);
-  /** Returns true iff the entry surely uses no own part at aNow. */
+  /** Returns true iff the entry certainly uses no fallback share at aNow. */
   bool IsLeased(const Address& aEntry, TimePoint aNow) const;
-  /** Finds the entries whose cover has ended by aNow. */
+  /** Updates the fallback totals below to aNow. */
   void Advance(TimePoint aNow);
 
-  /** The share of each limit's rate that uncovered entries may be using. */
+  /** Returns the share of each limit's rate that unleased entries may use. */
   double FallbackShare() const { return mFallbackShare; }
-  /** What they may have saved up at most, in seconds of a limit's rate. */
+  /** Returns the most they may have accrued, in seconds of a limit's rate. */
   double FallbackAccrual() const { return mFallbackAccrual; }
   std::size_t UnleasedEntries() const { return mUnleasedEntries; }
   std::size_t MemberCount() const { return mMemberCount; }
@@ -52,11 +53,12 @@
   struct EntryState
   {
     bool mIsMember = false;
-    /** It has held a lease of some leader. */
+    /** Set for members, and for entries that have held any leader's lease. */
     bool mMayUseFallback = false;
     TimePoint mLeasedUntil;
+    /** From the newest confirmed lease on. */
     std::deque<SentLease> mSentLeases;
-    /** The largest own part that it may have been told of is one of these. */
+    /** The smallest divisor (largest share) that it may have received. */
     std::uint32_t mMinFallbackDivisor = 0;
   };
 
@@ -65,6 +67,7 @@
   std::uint64_t mAllocatorId;
   std::uint64_t mTerm;
   std::uint64_t mLastNumber = 0;
+  /** The divisor of new leases; see QuotaLease. */
   std::uint32_t mFallbackDivisor = 1;
   std::size_t mMemberCount = 0;
   std::map<Address, EntryState> mEntries;
--- a/include/peridotspool/gateway/QuotaMessage.h
+++ b/include/peridotspool/gateway/QuotaMessage.h
@@ -9,14 +9,14 @@
 
 namespace peridotspool::gateway {
 
-/** Units that an entry asks the leader for, for one request or for stock. */
+/** Units that an entry requests, for one caller's request or to prefetch. */
 struct QuotaRequestItem
 {
   CustomerName mCustomer;
   std::uint64_t mUnits = 0;
-  /** The entry's number of this line. */
+  /** Identifies this item; chosen by the entry. */
   std::uint64_t mTag = 0;
-  /** For no request in particular. */
+  /** Set if the units are prefetched for later requests. */
   bool mIsPrefetch = false;
 
   auto operator<=>(const QuotaRequestItem&) const = default;
@@ -25,10 +25,10 @@
                       (),
                       (mCustomer, mUnits, mTag, mIsPrefetch))
 
-/** Granted units that no request used. */
+/** Granted units that an entry returns unused. */
 struct QuotaReturn
 {
-  /** Of the grant; another leader ignores the return. */
+  /** As in the grant; any other leader ignores the return. */
   std::uint64_t mAllocatorId = 0;
   std::int64_t mGrantedAt = 0;
   CustomerName mCustomer;
@@ -40,6 +40,7 @@
                       (),
                       (mAllocatorId, mGrantedAt, mCustomer, mUnits))
 
+/** From an entry to the control leader. */
 struct QuotaRequest
 {
   std::vector<QuotaRequestItem> mItems;
@@ -49,23 +50,25 @@
 };
 BOOST_DESCRIBE_STRUCT(QuotaRequest, (), (mItems, mReturns))
 
+/** The leader's decision on one item. */
 struct QuotaResponseItem
 {
   QuotaRequestItem mItem;
   bool mGranted = false;
-  /** When so many units will be there again; 0 if granted. */
+  /** When as many units are expected to be available; 0 if granted. */
   std::uint32_t mRetryAfterMs = 0;
 
   auto operator<=>(const QuotaResponseItem&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(QuotaResponseItem, (), (mItem, mGranted, mRetryAfterMs))
 
+/** From the control leader to an entry. */
 struct QuotaResponse
 {
   std::vector<QuotaResponseItem> mResults;
-  /** Names one leader's time in the lead. */
+  /** Identifies the leadership that granted the units. */
   std::uint64_t mAllocatorId = 0;
-  /** By the grantor's own clock; for QuotaReturn only. */
+  /** By the leader's monotonic clock; only echoed in QuotaReturn. */
   std::int64_t mGrantedAt = 0;
 
   auto operator<=>(const QuotaResponse&) const = default;
@@ -73,17 +76,18 @@
 BOOST_DESCRIBE_STRUCT(QuotaResponse, (), (mResults, mAllocatorId, mGrantedAt))
 
 /**
- * Keeps an entry from using its own part of the limits for kQuotaLeaseLength
- * from when it is taken. The entry's next report confirms it.
+ * Prevents an entry from using its fallback share of the limits for
+ * kQuotaLeaseLength after it receives the lease. The entry's next report
+ * confirms the lease.
  */
 struct QuotaLease
 {
   std::uint64_t mAllocatorId = 0;
-  /** The grantor's term as the leader. */
+  /** The leader's term. */
   std::uint64_t mTerm = 0;
-  /** Rises with each lease of a grantor; 0 for none. */
+  /** Increases with each lease of a leader; 0 means no lease. */
   std::uint64_t mNumber = 0;
-  /** The own part is one of so many. */
+  /** The entry's fallback share is 1 / mFallbackDivisor of each limit. */
   std::uint32_t mFallbackDivisor = 0;
 
   auto operator<=>(const QuotaLease&) const = default;
--- a/include/peridotspool/gateway/QuotaReceipt.h
+++ b/include/peridotspool/gateway/QuotaReceipt.h
@@ -8,27 +8,27 @@
 
 namespace peridotspool::gateway {
 
-/** Whose rights a request's units were taken from. */
+/** Where a request's units were taken from; written to logs by these names. */
 enum class QuotaSource
 {
-  /** The customer has no limit, or nobody has decided. */
+  /** The customer has no limit, or no decision was made. */
   kNone,
   kLeader,
-  /** Granted by the leader before the request came. */
+  /** Granted by the leader in advance; see PrefetchedQuota. */
   kStock,
-  /** The entry's own part, while no leader answers. */
+  /** The entry's fallback share, used while it has no lease. */
   kOwnPart,
 };
 BOOST_DESCRIBE_ENUM(QuotaSource, kNone, kLeader, kStock, kOwnPart)
 
-/** Where a request's units came from; given back with them. */
+/** The source of a request's units; needed to return them. */
 struct QuotaReceipt
 {
   QuotaSource mSource = QuotaSource::kNone;
-  /** With kLeader, as in its grant. */
+  /** Set with kLeader, as in the leader's response. */
   std::uint64_t mAllocatorId = 0;
   std::int64_t mGrantedAt = 0;
-  /** With kStock. */
+  /** Set with kStock. */
   TimePoint mExpiresAt;
 
   auto operator<=>(const QuotaReceipt&) const = default;
--- a/include/peridotspool/gateway/QuotaTiming.h
+++ b/include/peridotspool/gateway/QuotaTiming.h
@@ -4,16 +4,15 @@
 
 namespace peridotspool::gateway {
 
-/** From when an entry takes a lease, it uses no own part for this long. */
+/** An entry uses no fallback share for this long after it receives a lease. */
 constexpr Duration kQuotaLeaseLength = std::chrono::seconds(1);
-/** An entry saves up its own part of a limit for this long, at most. */
+/** Bounds the time for which an entry accrues unused fallback units. */
 constexpr Duration kMaxFallbackAccrual = std::chrono::seconds(1);
-/** An entry that no leader answers uses its own part for this long, at most. */
+/** Bounds how long an entry uses its fallback share after a lease expired. */
 constexpr Duration kFallbackDuration = std::chrono::seconds(20);
-/** Stock lapses this long after it was asked for. */
+/** Prefetched units expire this long after they were requested. */
 constexpr Duration kPrefetchLifetime = std::chrono::seconds(2);
 
-/** Returns aDuration in seconds. */
 inline double
 ToSeconds(Duration aDuration)
 {
--- a/include/peridotspool/gateway/ServiceProfile.h
+++ b/include/peridotspool/gateway/ServiceProfile.h
@@ -10,27 +10,28 @@
 
 namespace peridotspool::gateway {
 
-/** How many upstreams of a service may be ordered, and what they cost. */
+/** How many upstreams of a service may be ordered, and their prices. */
 struct ScalingProfile
 {
-  /** Bounds for each failure domain, reclaimable and lasting ones together. */
+  /** Bounds per failure domain, for reclaimable and on-demand upstreams
+   * together. */
   std::uint32_t mMin = 0;
   std::uint32_t mMax = 0;
-  /** From the order to the first request served. */
+  /** The time from the order to the first request served. */
   Duration mBootTime{ 0 };
-  /** A reclaimable upstream's price as a part of a lasting one's. */
+  /** A reclaimable upstream's price divided by an on-demand one's. */
   double mReclaimablePriceRatio = 1.0;
-  /** The price of one second of a lasting upstream. */
+  /** The price of an on-demand upstream per second. */
   std::map<FailureDomain, double> mPrices;
 
   auto operator<=>(const ScalingProfile&) const = default;
 };
 
-/** What is known of a model engine's kind. */
+/** The capacity of one kind of model engine. */
 struct EngineProfile
 {
   std::uint32_t mSlots = 1;
-  /** Tokens of running requests and cached prefixes together. */
+  /** Tokens that running requests and cached prefixes may occupy together. */
   std::uint64_t mMemoryTokens = 0;
 
   auto operator<=>(const EngineProfile&) const = default;
@@ -39,7 +40,7 @@
 struct ServiceProfile
 {
   ServiceName mName;
-  /** Connections that one upstream takes from all entries together. */
+  /** Connections that one upstream accepts from all entries together. */
   std::uint32_t mMaxConnections = 0;
   std::optional<EngineProfile> mEngine;
   std::optional<ScalingProfile> mScaling;
--- a/include/peridotspool/gateway/ServiceRetryBudget.h
+++ b/include/peridotspool/gateway/ServiceRetryBudget.h
@@ -12,24 +12,24 @@
 
 struct ServiceRetryBudgetOptions
 {
-  /** Repeats allowed for each request that callers send. */
+  /** Retries allowed per caller's request. */
   double mRatio = 0.2;
-  /** Repeats allowed besides in a window, for all entries together. */
+  /** Further retries allowed per window, for all entries together. */
   double mFixedAllowance = 10.0;
   Duration mWindow = std::chrono::seconds(10);
-  /** Entries that share mFixedAllowance; as many as may run at once. */
+  /** Entries that share mFixedAllowance: all that may run at once. */
   std::size_t mEntryCount = 1;
-  /** When the process started: it doesn't know what it repeated before. */
+  /** When the process started. Retries before a restart are unknown. */
   TimePoint mStartedAt;
 };
 
 /**
- * Bounds the sends to a service beyond the first of each request, so that
- * repeats don't multiply the load of a service in trouble. Entries keep their
- * own parts without asking each other: also one that is cut off stays in its
- * part.
+ * Bounds the retries to a service, so that they don't multiply the load of a
+ * failing service. Each entry enforces its own part of the budget without
+ * communication, so an entry that is partitioned from the others stays within
+ * its part as well.
  *
- * A pure step. Not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class ServiceRetryBudget
 {
@@ -37,14 +37,14 @@
   explicit ServiceRetryBudget(ServiceRetryBudgetOptions aOptions);
 
   void SetEntryCount(std::size_t aEntries);
-  /** A caller's request for the service has come. */
+  /** Counts a caller's request to the service. */
   void RecordRequest(const ServiceName& aService, TimePoint aNow);
-  /** Takes one repeat out of the budget; false iff none is left. */
+  /** Takes one retry from the budget; returns false iff none is left. */
   bool TryAcquireRetry(const ServiceName& aService, TimePoint aNow);
 
 private:
   static constexpr std::size_t kWindowSlices = 10;
-  /** The present slice has just begun or is nearly over: one more. */
+  /** One more slice, since the current one is only partly over. */
   static constexpr std::size_t kSlices = kWindowSlices + 1;
   struct Slice
   {
--- a/include/peridotspool/gateway/TokenCounts.h
+++ b/include/peridotspool/gateway/TokenCounts.h
@@ -9,21 +9,21 @@
 
 namespace peridotspool::gateway {
 
-/** How large a generation is, as its caller says. */
+/** The size of a generation, as declared by its caller. */
 struct TokenCounts
 {
   std::uint64_t mPrompt = 0;
-  /** The most that may be generated. */
+  /** The maximum number of generated tokens. */
   std::uint64_t mMaxOutput = 0;
 
   auto operator<=>(const TokenCounts&) const = default;
 };
 
-/** Reads "PROMPT,ANSWER"; empty for anything else. */
+/** Parses "PROMPT,ANSWER"; returns empty for anything else. */
 std::optional<TokenCounts>
 ParseTokenCounts(std::string_view aText);
 
-/** Returns how long a generation may take on an engine that is well loaded. */
+/** Returns how long a generation may take on a fully loaded engine. */
 Duration
 MaxGenerationTime(const TokenCounts& aCounts);
 
--- a/include/peridotspool/gateway/UsageCounter.h
+++ b/include/peridotspool/gateway/UsageCounter.h
@@ -10,20 +10,21 @@
 namespace peridotspool::gateway {
 
 /**
- * Counts what upstreams began for each customer, by windows of the time of
- * day. The time of day is the one that the leader says most processes have: an
- * instance's own clock may jump.
+ * Counts the requests that upstreams started to execute, by customer and by
+ * window of wall clock time. Windows follow the median time that the leader
+ * sends, since an instance's own clock may jump.
  *
- * A pure step. Not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class UsageCounter
 {
 public:
   UsageCounter(Duration aWindow, std::uint64_t aIncarnation);
 
-  /** Takes the common time of day that the leader sent just now. */
+  /** Applies a median time that the leader sent; received at aNow. */
   void SetMedianTime(std::int64_t aMicros, TimePoint aNow);
-  /** aWallMicros is the own time of day, for as long as no other is known. */
+  /** Counts one request. aWallMicros is the local wall clock, used until a
+   * median time is known. */
   void Count(const CustomerName& aCustomer,
              std::int64_t aWallMicros,
              TimePoint aNow);
@@ -32,7 +33,7 @@
 private:
   Duration mWindow;
   std::uint64_t mIncarnation;
-  /** Common time of day less the process's clock, in microseconds. */
+  /** Median time less the local monotonic clock, in microseconds. */
   std::optional<std::int64_t> mMedianOffset;
   std::map<std::uint64_t, UsageWindow> mWindows;
 };
--- a/src/gateway/AttemptPolicy.cpp
+++ b/src/gateway/AttemptPolicy.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-/** Upstreams asked in vain before the caller is told to come back. */
+/** Refusing upstreams that are tried before the caller is asked to retry. */
 constexpr std::uint32_t kMaxRefusals = 4;
 
-// A stream that may be resumed is repeated like an idempotent call; any other
-// stream is as good as non-idempotent: its events can't be told apart.
+// A resumable stream is retried like an idempotent call. Any other stream
+// counts as non-idempotent, because events of the two attempts can't be told
+// apart.
 bool
 IsRetryable(const AttemptState& aState)
 {
@@ -35,8 +36,8 @@
   if (aState.mBegun) {
     return NextStep::kAbort;
   }
-  // "Did not run" must be true of all upstreams that were asked, not only of
-  // the last one.
+  // The caller may be told "not executed" only if that holds for every upstream
+  // that received an attempt, not only for the last one.
   return aState.mRuns == 0 ? NextStep::kRefuse : NextStep::kFail;
 }
 
--- a/src/gateway/QuotaAllocator.cpp
+++ b/src/gateway/QuotaAllocator.cpp
@@ -10,32 +10,40 @@
 
 namespace {
 
-/** Requests take some time to arrive; a part of the slack is left for that. */
+/** The rest of the slack is reserved for the time that requests take to
+ * arrive. */
 constexpr double kUsableSlackFraction = 0.6;
-/** The floor of an account without a committed one, as a part of the most. */
+// Fractions of an account's maximum balance.
+
+/** The floor of an account without a committed one. */
 constexpr double kDefaultFloorFraction = 0.75;
-/** Floors are committed so far below the balance... */
+/** Floors are proposed this far below the balance. */
 constexpr double kFloorMarginFraction = 0.25;
-/** ...lower ones when so little is left above the floor... */
+/** A lower floor is proposed when the balance is closer to it than this. */
 constexpr double kLowMarginFraction = 0.125;
-/** ...and higher ones when it has grown this far above it. */
+/** A higher floor is proposed when the balance is further above it. */
 constexpr double kHighMarginFraction = 0.5;
-/** Stock is given only while this part of an account is left. */
+/** Prefetching is granted only if this balance remains. */
 constexpr double kMinPrefetchBalanceFraction = 0.6;
-/** All entries' stock of a customer together, as a part of the most. */
+/** Units of a customer that all entries together may have prefetched. */
 constexpr double kMaxPrefetchFraction = 0.125;
+/** Balances accrue in steps of at least this length. */
 constexpr Duration kAccrualStep = std::chrono::milliseconds(10);
-/** What a leader that stood still for longer did not see is not given. */
+/** A leader that was paused for longer can't know which entries used their
+ * fallback shares meanwhile; nothing accrues for the pause. */
 constexpr Duration kMaxAccrualStep = std::chrono::milliseconds(300);
+/** Accounts are checked for new floors at least this often. */
 constexpr Duration kScanPeriod = std::chrono::seconds(1);
-/** Floors that were not committed in this time are proposed again. */
+/** Floors that are not committed within this time are proposed again. */
 constexpr Duration kCommitTimeout = std::chrono::milliseconds(500);
-/** How long an account outlasts its customer's removal. */
+/** How long an account is kept after its customer's removal. */
 constexpr Duration kRemovedAccountRetention = std::chrono::seconds(10);
-/** A request waits this long for a lower floor, and for entries to confirm a
- * new leader's leases; entries wait for longer. */
+/** How long an item is deferred for a lower floor, or for entries to confirm a
+ * new leader's leases. Shorter than the entries' response timeout. */
 constexpr Duration kDeferTimeout = std::chrono::milliseconds(300);
+/** Further items are refused at once. */
 constexpr std::size_t kMaxDeferred = 4096;
+/** A lower floor is usually committed by then. */
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(50);
 constexpr Duration kMaxRetryAfter = std::chrono::seconds(10);
 
@@ -63,8 +71,8 @@
 {
 }
 
-// As large as the allowed overshoot leaves room for: a smaller account would
-// refuse a customer that is below its limit and asks unevenly.
+// The account is as large as the tolerated overshoot permits. A smaller one
+// would refuse bursts of a customer that stays below its limit.
 double
 QuotaAllocator::MaxBalanceOf(const Customer& aCustomer) const
 {
@@ -86,7 +94,8 @@
   return std::min(floor, aAccount.mMaxBalance);
 }
 
-// A customer that is removed may come back: its account would begin anew.
+// The account of a removed customer is kept for a while. A customer that is
+// removed and added again would otherwise get a new account.
 void
 QuotaAllocator::SetCustomers(const std::vector<Customer>& aCustomers,
                              TimePoint aNow)
@@ -142,7 +151,8 @@
                       const QuotaLease& aHeld,
                       TimePoint aNow)
 {
-  // What the entry used until now must be left out before it is covered.
+  // Advance first: until now the entry may have used its fallback share, which
+  // must not accrue here as well.
   if (!mLeases.IsLeased(aEntry, aNow)) {
     Advance(aNow);
   }
@@ -163,7 +173,7 @@
   }
 }
 
-/** Walks over all entries only so often; an account may grow a step late. */
+/** Limits how often all entries are scanned; a balance may lag by one step. */
 void
 QuotaAllocator::AdvanceInSteps(TimePoint aNow)
 {
@@ -189,7 +199,7 @@
 void
 QuotaAllocator::AddUnits(Account& aAccount, double aUnits, TimePoint aNow) const
 {
-  // An earlier leader's stock may still be out.
+  // Entries may still hold units that they prefetched from an earlier leader.
   const double earlierPrefetch = aNow - mStartedAt < 2 * kPrefetchLifetime
                                    ? kMaxPrefetchFraction * aAccount.mMaxBalance
                                    : 0.0;
@@ -250,8 +260,8 @@
   return responses;
 }
 
-// Meanwhile the account may have grown in place of what was granted; only what
-// it can't have grown by is put back.
+// Since the grant, the account may have accrued units in the room that the
+// grant left. Only units beyond that accrual are put back.
 void
 QuotaAllocator::ApplyReturn(const QuotaReturn& aReturn, TimePoint aNow)
 {
@@ -267,7 +277,7 @@
   AddUnits(account, static_cast<double>(aReturn.mUnits) - gained, aNow);
 }
 
-/** The balance that has to be left, apart from the floor. */
+/** Returns the balance that must remain after the grant, besides the floor. */
 double
 QuotaAllocator::ReservedUnits(const Account& aAccount,
                               const QuotaRequestItem& aItem) const
@@ -368,8 +378,8 @@
             implied);
 }
 
-// A proposal may be committed at any later time, also by another leader: until
-// it is, the higher of the two floors holds here.
+// A proposal may be committed at any later time, also by another leader. Until
+// then, the higher of the committed and the proposed floor applies here.
 std::optional<QuotaFloors>
 QuotaAllocator::ProposeFloors(TimePoint aNow)
 {
--- a/src/gateway/QuotaClient.cpp
+++ b/src/gateway/QuotaClient.cpp
@@ -10,19 +10,21 @@
 
 namespace {
 
-/** A request waits this long for the leader before the entry decides. */
+/** How long a request waits for the leader before the entry decides itself. */
 constexpr Duration kResponseTimeout = std::chrono::milliseconds(800);
-/** A leader that is silent for longer is not waited for any more... */
+/** Once the leader has not responded for this long after a timeout, requests no
+ * longer wait for it. */
 constexpr Duration kLeaderSilenceTimeout = std::chrono::milliseconds(400);
-/** ...but asked again this often. */
+/** How often an unresponsive leader is tried again. */
 constexpr Duration kProbePeriod = std::chrono::milliseconds(250);
-/** Stock for this much of an entry's use is asked for with each request. */
+/** Each request also prefetches units for this much of the entry's usage. */
 constexpr double kPrefetchSeconds = 0.4;
+/** The time constant of the usage rate's exponential average. */
 constexpr double kUsageRateSeconds = 2.0;
 constexpr std::size_t kMaxPending = 4096;
 constexpr std::size_t kMaxReturns = 1024;
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(200);
-/** A leader is likely to answer again by then. */
+/** A leader is likely to respond again by then. */
 constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 
 } // namespace
@@ -122,8 +124,9 @@
   return request;
 }
 
-// What nobody waits for any more goes back to the leader: kept here, it would
-// be used beside what the account has grown by meanwhile.
+// Units granted to a request that is no longer pending are returned to the
+// leader. If this entry kept them, they would be used in addition to what the
+// account has accrued since the grant.
 std::vector<DeferredQuotaDecision>
 QuotaClient::HandleResponse(const QuotaResponse& aResponse)
 {
@@ -184,7 +187,8 @@
   return decisions;
 }
 
-// One of an earlier term was under way for long: its leader counts on nothing.
+// A lease of an earlier term was delayed in transit. It is ignored; its
+// leader no longer relies on it.
 bool
 QuotaClient::HandleLease(const QuotaLease& aLease, TimePoint aNow)
 {
@@ -206,7 +210,7 @@
          aNow - mLeaseEnd < kFallbackDuration;
 }
 
-/** Returns null while a lease holds. */
+/** Returns null while the fallback share may not be used. */
 QuotaClient::FallbackBalance*
 QuotaClient::AccrueFallback(const Customer& aCustomer, TimePoint aNow)
 {
--- a/src/gateway/QuotaLeases.cpp
+++ b/src/gateway/QuotaLeases.cpp
@@ -8,16 +8,18 @@
 
 namespace {
 
-/** Own parts are left for entries that were removed and still serve: one for
- * each so many members, and at least some. */
+/** One fallback share per this many members is reserved for removed entries
+ * that are still serving. */
 constexpr std::size_t kMembersPerSpare = 8;
+/** At least this many fallback shares are reserved for removed entries. */
 constexpr std::size_t kMinSpares = 3;
-/** Leases that an entry may still confirm. */
+/** Bounds the leases of one entry that may still be confirmed. */
 constexpr std::size_t kMaxSentLeases = 16;
-/** Clocks of two processes may run apart by this share of a lease. */
+/** Bounds the drift between two processes' clocks over one lease. */
 constexpr Duration kClockMargin = kQuotaLeaseLength / 50;
+/** How long a confirmed lease certainly lasts, counted from its sending. */
 constexpr Duration kConfirmedLeaseLength = kQuotaLeaseLength - kClockMargin;
-/** After this long without cover an entry uses its own part no more. */
+/** An entry that has been unleased for longer uses no fallback share. */
 constexpr Duration kMaxFallbackTime =
   kFallbackDuration + kQuotaLeaseLength + kClockMargin;
 
@@ -29,8 +31,8 @@
 {
 }
 
-// A member that this leader has not heard yet may hold an older leader's lease
-// that has ended.
+// A member that has not reported to this leader yet may have held an earlier
+// leader's lease that has expired.
 void
 QuotaLeases::SetEntries(const std::vector<Address>& aEntries, TimePoint aNow)
 {
@@ -87,8 +89,8 @@
   return found != mEntries.end() && aNow < found->second.mLeasedUntil;
 }
 
-// The entry took the lease after it was sent: its own count of the lease's
-// length ends later than one from the sending.
+// The entry received the lease after it was sent, so the lease expires at the
+// entry no earlier than counted from the sending.
 void
 QuotaLeases::Confirm(EntryState& aState, const QuotaLease& aHeld)
 {
--- a/src/gateway/ServiceRetryBudget.cpp
+++ b/src/gateway/ServiceRetryBudget.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/** A part is kept back: windows slide, and slices don't begin with them. */
+/** The rest is held back: the budget must hold over every sliding window, and
+ * windows don't start at slice boundaries. */
 constexpr double kUsableFraction = 0.8;
-/** A process that has just started may have repeated in an earlier life: it has
- * this part of what its requests allow, and nothing of the extra, which with
- * the used part stays within the bound. */
+/** A process that has just restarted may have retried before the restart. For
+ * one window it may use only this fraction of the ratio, and none of the fixed
+ * allowance; together with kUsableFraction that stays within the budget. */
 constexpr double kStartupFraction = 0.25;
 
 } // namespace
--- a/src/gateway/TokenCounts.cpp
+++ b/src/gateway/TokenCounts.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** No engine holds more; what a caller claims beyond it is not believed. */
+/** No engine can hold more tokens; larger counts are clamped. */
 constexpr std::uint64_t kMaxTokenCount = 10000000;
 
 } // namespace
@@ -29,7 +29,8 @@
                       .mMaxOutput = std::min(*maxOutput, kMaxTokenCount) };
 }
 
-// Beside other callers' prompts a token took 11 ms on a well loaded engine.
+// On a well loaded engine that also processes other callers' prompts, one token
+// takes 11 ms.
 Duration
 MaxGenerationTime(const TokenCounts& aCounts)
 {
--- a/src/gateway/UsageCounter.cpp
+++ b/src/gateway/UsageCounter.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/** Windows reported: a new leader counts what an earlier one did not report. */
+/** Windows in each report. Older ones are included so that a new leader can
+ * count windows that an earlier leader did not report. */
 constexpr std::size_t kMaxWindows = 5;
 
 } // namespace
