--- a/test/gateway/AttemptPolicyTest.cpp
+++ b/test/gateway/AttemptPolicyTest.cpp
@@ -33,13 +33,12 @@
 
 } // namespace
 
-// Symptom: a repaste order reached two crews.
-// Sequence: an upstream took the order, its connection broke, the order was
-// sent to another upstream.
-// Cause: a lost answer was taken for a request that did not run.
-TEST_CASE("ARequestThatMayRunOnceIsNeverSentAgainAfterALostAnswer")
+// Guards against executing a non-retryable request twice: an upstream accepts
+// the request, its connection breaks, the lost response is treated as a request
+// that was not executed, and the request is sent to another upstream.
+TEST_CASE("ANonRetryableRequestIsNotResentAfterALostResponse")
 {
-  rc::prop("AfterLost", [] {
+  rc::prop("AfterLostResponse", [] {
     AttemptState state = AnyState();
     state.mRuns = std::max<std::uint32_t>(1, state.mRuns);
     const NextStep step = AfterLostResponse(state);
@@ -50,13 +49,12 @@
   });
 }
 
-// Symptom: a caller was told that its request had not run, and it had.
-// Sequence: the first upstream took the request and broke, the second one said
-// that it was full.
-// Cause: only the last upstream's word was passed on.
-TEST_CASE("ARefusalIsGivenOnlyWhenNoUpstreamMayHaveRunTheRequest")
+// Guards against reporting a request as not executed although it was: the first
+// upstream accepts the request and its connection breaks, the second upstream
+// refuses it, and only the second result is reported to the caller.
+TEST_CASE("ARequestIsRefusedOnlyIfNoUpstreamMayHaveExecutedIt")
 {
-  rc::prop("AfterNotRun", [] {
+  rc::prop("AfterNotExecuted", [] {
     const AttemptState state = AnyState();
     const NextStep step = AfterNotExecuted(state);
     if (step == NextStep::kRefuse) {
@@ -70,9 +68,9 @@
   });
 }
 
-TEST_CASE("AnAnswerThatHasBegunIsNeverFollowedByAnotherOne")
+TEST_CASE("APartlySentResponseIsOnlyRetriedOrAborted")
 {
-  rc::prop("begun", [] {
+  rc::prop("response partly sent", [] {
     AttemptState state = AnyState();
     state.mBegun = true;
     state.mRuns = std::max<std::uint32_t>(1, state.mRuns);
@@ -83,7 +81,7 @@
   });
 }
 
-TEST_CASE("AnUpstreamsOwnFailureIsRepeatedOnlyWhereItMayRunAgain")
+TEST_CASE("AnUpstreamErrorIsRetriedOnlyIfTheRequestIsRetryable")
 {
   AttemptState state{ .mKind = RequestKind::kIdempotent,
                       .mRuns = 1,
@@ -97,11 +95,10 @@
   CHECK(AfterUpstreamError(state) == NextStep::kForward);
 }
 
-// Symptom: callers of streams got an upstream's 500 for seconds while other
-// upstreams worked.
-// Sequence: one upstream failed streams before their first event.
-// Cause: a stream that may be resumed was not taken for one that may run again.
-TEST_CASE("AStreamThatMayBeResumedIsTriedElsewhereWhenItsUpstreamFails")
+// Guards against forwarding an upstream's 500 to callers of resumable streams
+// while other upstreams work: one upstream fails streams before their first
+// event, and a resumable stream is not treated as retryable.
+TEST_CASE("AResumableStreamIsRetriedAfterAnUpstreamError")
 {
   AttemptState state{ .mKind = RequestKind::kStreaming,
                       .mResumable = true,
--- a/test/gateway/PrefetchedQuotaTest.cpp
+++ b/test/gateway/PrefetchedQuotaTest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("StockIsTakenWholeOrNotAtAll")
+TEST_CASE("PrefetchedUnitsAreTakenInFullOrNotAtAll")
 {
   PrefetchedQuota quota;
   CHECK_FALSE(quota.TryTake(1, At(0)).has_value());
@@ -27,7 +27,7 @@
   CHECK_FALSE(quota.TryTake(1, At(0)).has_value());
 }
 
-TEST_CASE("StockLapses")
+TEST_CASE("PrefetchedUnitsExpire")
 {
   PrefetchedQuota quota;
   quota.Add(10, At(50));
--- a/test/gateway/QuotaLeasesTest.cpp
+++ b/test/gateway/QuotaLeasesTest.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("AMemberThatWasNeverHeardMayUseItsOwnPart")
+TEST_CASE("AMemberThatHasNotReportedMayUseItsFallbackShare")
 {
   QuotaLeases leases(kAllocatorId, 1);
   leases.SetEntries({ kEntry }, At(0));
@@ -33,7 +33,7 @@
   CHECK(leases.FallbackAccrual() == Approx(0.25).margin(0.001));
 }
 
-TEST_CASE("AnEntryIsCoveredFromWhenItsLeaseWasSentOnceItHasConfirmedIt")
+TEST_CASE("AConfirmedLeaseCountsFromWhenItWasSent")
 {
   QuotaLeases leases(kAllocatorId, 1);
   leases.SetEntries({ kEntry }, At(0));
@@ -42,12 +42,12 @@
   leases.Renew(kEntry, lease, At(300));
   CHECK(FallbackShareAt(leases, 310) == 0.0);
   CHECK(FallbackShareAt(leases, 900) == 0.0);
-  // The lease of 300 ms is not confirmed.
+  // The lease sent at 300 ms has not been confirmed.
   CHECK(FallbackShareAt(leases, 1050) > 0.0);
 }
 
-// Guards against another leader's lease being taken for one's own.
-TEST_CASE("ALeaseOfAnotherLeaderCoversNothing")
+// Guards against treating another leader's lease as the leader's own.
+TEST_CASE("ALeaseOfAnotherLeaderIsNotConfirmed")
 {
   QuotaLeases leases(kAllocatorId, 1);
   leases.SetEntries({ kEntry }, At(0));
@@ -57,8 +57,9 @@
   CHECK(FallbackShareAt(leases, 20) > 0.0);
 }
 
-// Guards against giving an entry's part to others while it still serves.
-TEST_CASE("ARemovedEntryCountsUntilItUsesItsPartNoMore")
+// Guards against granting a removed entry's share to others while the entry is
+// still serving.
+TEST_CASE("ARemovedEntryCountsUntilItsFallbackEnds")
 {
   QuotaLeases leases(kAllocatorId, 1);
   leases.SetEntries({ kEntry }, At(0));
@@ -68,7 +69,7 @@
   CHECK(FallbackShareAt(leases, 30000) == 0.0);
 }
 
-TEST_CASE("AnEntryThatNeverHeldALeaseHasNoOwnPart")
+TEST_CASE("AnEntryThatNeverHeldALeaseHasNoFallbackShare")
 {
   QuotaLeases leases(kAllocatorId, 1);
   leases.Renew(kEntry, {}, At(0));
--- a/test/gateway/QuotaSimulation.cpp
+++ b/test/gateway/QuotaSimulation.cpp
@@ -12,7 +12,7 @@
 constexpr int kReportMs = 300;
 constexpr int kDelayMs = 5;
 constexpr int kWindowMs = 8000;
-/** Limits are this many times what the customer usually asks for. */
+/** The limit divided by the customer's normal load. */
 constexpr double kHeadroom = 1.8;
 constexpr int kCommitMs = 20;
 constexpr std::size_t kFirstPort = 1000;
@@ -107,13 +107,13 @@
 std::vector<std::size_t>
 QuotaSimulation::DrawEntries(double aShare)
 {
-  std::vector<std::size_t> drawn;
+  std::vector<std::size_t> selected;
   for (std::size_t i = 0; i < mEntries.size(); ++i) {
     if (static_cast<double>(mRandom() % 1000) < aShare * 1000) {
-      drawn.push_back(i);
+      selected.push_back(i);
     }
   }
-  return drawn;
+  return selected;
 }
 
 void
@@ -224,7 +224,7 @@
      handler = std::move(aHandler)] { Deliver(aEntry, incarnation, handler); });
 }
 
-/** What comes to an entry that stands still is read once it goes on. */
+/** Messages to a paused entry are delivered when it resumes. */
 void
 QuotaSimulation::Deliver(std::size_t aEntry,
                          std::uint64_t aIncarnation,
@@ -243,7 +243,7 @@
   aHandler(entry);
 }
 
-// A proposal of a leader that is lost meanwhile may be committed or not.
+// If the leader fails meanwhile, its proposal may or may not be committed.
 void
 QuotaSimulation::CommitFloors()
 {
@@ -260,7 +260,8 @@
     if ((lost && mRandom() % 2 == 0) || floors->mNumber <= mCommitted.mNumber) {
       return;
     }
-    // An election commits what is under way first.
+    // A new leader is elected only after pending proposals are committed, so a
+    // late proposal is dropped.
     if (mLeader && mLeaderCount != leader) {
       return;
     }
@@ -297,7 +298,7 @@
   }
 }
 
-// Prompts differ widely in length: most are short, a few are very long.
+// Prompt lengths vary widely: most are short, a few are very long.
 double
 QuotaSimulation::DrawUnits()
 {
@@ -308,8 +309,8 @@
 void
 QuotaSimulation::SendRequest(double aUnits, bool aIsRetry)
 {
-  const std::size_t which = mRandom() % mEntries.size();
-  Entry& entry = mEntries[which];
+  const std::size_t index = mRandom() % mEntries.size();
+  Entry& entry = mEntries[index];
   Request request{ .mUnits = aUnits, .mSentAt = mMs, .mIsRetry = aIsRetry };
   if (!mIsConfigured || entry.mPausedUntil > mMs) {
     return;
@@ -322,14 +323,14 @@
   switch (decision.mOutcome) {
     case QuotaOutcome::kGranted:
       request.mReceipt = decision.mReceipt;
-      OnGranted(which, request);
+      OnGranted(index, request);
       return;
     case QuotaOutcome::kRefused:
       OnRefused(request, decision.mRetryAfter);
       return;
     case QuotaOutcome::kPending:
       entry.mPending.emplace(decision.mTag, request);
-      SendToLeader(which, decision.mRequest);
+      SendToLeader(index, decision.mRequest);
       return;
   }
 }
--- a/test/gateway/QuotaSimulation.h
+++ b/test/gateway/QuotaSimulation.h
@@ -12,26 +12,27 @@
 
 namespace peridotspool::gateway {
 
-/** What goes wrong, or changes, in a play. */
+/** A fault or change during a simulation. */
 enum class QuotaFault
 {
-  /** The customer asks mTimes as much. */
+  /** The customer's load is multiplied by mFactor for mDurationMs. */
   kOverload,
-  /** The leader is gone; another one is elected after mFor. */
+  /** The leader fails; another one is elected after mDurationMs. */
   kLeaderLost,
-  /** What the leader sends takes mFor longer, for mTimes seconds. */
+  /** The leader's messages are delayed by mDurationMs for mFactor seconds. */
   kLeaderSlow,
-  /** The share mTimes of the entries start anew. */
+  /** The fraction mFactor of the entries restarts. */
   kEntriesRestart,
-  /** The share mTimes of the entries can't reach the leader for mFor. */
+  /** The fraction mFactor of the entries can't reach the leader for
+   * mDurationMs. */
   kEntriesPartitioned,
-  /** The share mTimes of the entries stands still for mFor. */
+  /** The fraction mFactor of the entries is paused for mDurationMs. */
   kEntriesPaused,
-  /** Requests that are granted don't run, for mFor. */
+  /** Granted requests are not executed for mDurationMs. */
   kUpstreamsDown,
-  /** The customer's rate and burst become mTimes the first ones. */
+  /** The customer's rate and burst become mFactor times the initial ones. */
   kLimitChanged,
-  /** The settings don't name the customer for mFor. */
+  /** The settings don't contain the customer for mDurationMs. */
   kCustomerRemoved,
 };
 
@@ -54,18 +55,20 @@
 
 struct QuotaSimulationResult
 {
-  /** The most units in a window of those that were both asked for in it and
-   * run in it, over the allowed ones. */
+  /** The highest ratio, over all windows, of units both requested and executed
+   * in the window to the units allowed in it. */
   double mWorstRatio = 0.0;
   int mWorstAtMs = 0;
-  /** Requests in times without a flood, and those of them that never ran. */
+  /** Requests outside overload periods, and those of them that were refused
+   * twice. */
   std::size_t mNormalRequests = 0;
   std::size_t mNormalRefused = 0;
 };
 
 /**
- * Entries, control leaders and the callers of one customer on one virtual
- * clock. Callers whose request is refused ask once more, when they are told to.
+ * Simulates entries, control leaders and one customer's callers on a virtual
+ * clock. A caller whose request is refused retries once, at the time stated in
+ * the refusal.
  */
 class QuotaSimulation
 {
@@ -137,7 +140,7 @@
   double mMaxRate = 0.0;
   std::size_t mNormalRequests = 0;
   std::size_t mNormalRefused = 0;
-  /** Units by when they were asked for and when they ran. */
+  /** Executed units by the times of their request and their execution. */
   std::map<int, std::map<int, double>> mExecuted;
 };
 
--- a/test/gateway/QuotaSimulationTest.cpp
+++ b/test/gateway/QuotaSimulationTest.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t kSeeds = 6;
 
-/** Plays it at several sizes, and says where a limit was not kept. */
+/** Checks the limit for several numbers of entries, rates and seeds. */
 void
 CheckLimitHolds(const std::vector<QuotaIncident>& aIncidents)
 {
@@ -38,8 +38,9 @@
 
 } // namespace
 
-// Guards against entries that overdraw their own parts while no leader answers.
-TEST_CASE("ALimitIsKeptWhenTheLeaderIsLostUnderAFlood")
+// Guards against entries that exceed their fallback shares while no leader
+// responds.
+TEST_CASE("ALimitHoldsWhenTheLeaderFailsUnderOverload")
 {
   CheckLimitHolds({ kLongOverload,
                     { .mAtMs = 15000,
@@ -47,8 +48,8 @@
                       .mDurationMs = 1000 } });
 }
 
-// Guards against a fresh allowance with each new leader.
-TEST_CASE("ALimitIsKeptWhenLeadersAreLostInSeries")
+// Guards against a full account at each new leader.
+TEST_CASE("ALimitHoldsWhenLeadersFailRepeatedly")
 {
   CheckLimitHolds(
     { kLongOverload,
@@ -59,8 +60,9 @@
         .mDurationMs = 2500 } });
 }
 
-// Guards against units that are taken from the own part and from a late grant.
-TEST_CASE("ALimitIsKeptWhileTheLeaderAnswersLate")
+// Guards against taking the same units from the fallback share and from a late
+// grant.
+TEST_CASE("ALimitHoldsWhileTheLeaderRespondsLate")
 {
   for (const int delay : { 250, 600, 1500 }) {
     CheckLimitHolds({ kLongOverload,
@@ -71,8 +73,8 @@
   }
 }
 
-// Guards against a fresh allowance with each start of an entry.
-TEST_CASE("ALimitIsKeptWhenEntriesRestartWithoutALeader")
+// Guards against a new allowance at each start of an entry.
+TEST_CASE("ALimitHoldsWhenEntriesRestartWithoutALeader")
 {
   CheckLimitHolds(
     { kLongOverload,
@@ -85,8 +87,8 @@
         .mFactor = 1.0 } });
 }
 
-// Guards against units of requests that did not run being used much later.
-TEST_CASE("ALimitIsKeptWhenGrantedRequestsDoNotRun")
+// Guards against using the units of requests that were not executed much later.
+TEST_CASE("ALimitHoldsWhenGrantedRequestsAreNotExecuted")
 {
   CheckLimitHolds({ kLongOverload,
                     { .mAtMs = 10000,
@@ -94,8 +96,9 @@
                       .mDurationMs = 6000 } });
 }
 
-// Guards against the leader giving what entries that are cut off give, too.
-TEST_CASE("ALimitIsKeptWhileEntriesAreCutOff")
+// Guards against the leader granting units that partitioned entries also grant
+// from their fallback shares.
+TEST_CASE("ALimitHoldsWhileEntriesArePartitioned")
 {
   for (const double share : { 0.2, 0.5, 0.9 }) {
     CheckLimitHolds({ kLongOverload,
@@ -109,9 +112,9 @@
   }
 }
 
-// Guards against a fresh account for a customer that is removed and comes back,
+// Guards against a new account for a customer that is removed and added again,
 // or whose limit changes.
-TEST_CASE("ALimitIsKeptWhenTheCustomerComesBackOrItsLimitChanges")
+TEST_CASE("ALimitHoldsWhenTheCustomerIsReaddedOrItsLimitChanges")
 {
   CheckLimitHolds(
     { kLongOverload,
@@ -128,8 +131,8 @@
         .mDurationMs = 1000 } });
 }
 
-// Guards against faults in series and at once whose excesses add up.
-TEST_CASE("ALimitIsKeptWhateverIsLostAndWhenever")
+// Guards against excesses that add up over consecutive or simultaneous faults.
+TEST_CASE("ALimitHoldsUnderRandomFaults")
 {
   constexpr std::uint64_t kSchedules = 40;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
@@ -163,8 +166,8 @@
   }
 }
 
-// Guards against keeping a limit by refusing what the customer may have.
-TEST_CASE("ACustomerBelowItsLimitIsServedWhateverIsLost")
+// Guards against enforcing a limit by refusing requests within it.
+TEST_CASE("ACustomerBelowItsLimitIsServedDespiteFaults")
 {
   const std::vector<QuotaIncident> incidents = {
     { .mAtMs = 12000, .mFault = QuotaFault::kLeaderLost, .mDurationMs = 800 },
@@ -181,7 +184,7 @@
       INFO("entries " << entries << ", seed " << seed << ": "
                       << result.mNormalRefused << " of "
                       << result.mNormalRequests
-                      << " never ran, expected fewer than one in fifty");
+                      << " refused for good, expected at most one in fifty");
       CHECK(result.mNormalRefused * 50 <= result.mNormalRequests);
     }
   }
--- a/test/gateway/QuotaTest.cpp
+++ b/test/gateway/QuotaTest.cpp
@@ -57,7 +57,7 @@
   return allocator;
 }
 
-/** Lets a bank's time pass and commits at once what it wants committed. */
+/** Advances the allocator to aNow and commits the floors that it proposes. */
 void
 CommitFloors(QuotaAllocator& aAllocator,
              QuotaFloors& aCommitted,
@@ -69,7 +69,8 @@
   }
 }
 
-/** The verdict on one request, after whatever has to be committed for it. */
+/** Returns the decision on one request, after committing the floors that it
+ * needs. */
 QuotaResponseItem
 RequestUnits(QuotaAllocator& aAllocator,
              QuotaFloors& aCommitted,
@@ -90,7 +91,7 @@
   return response.mResults.front();
 }
 
-/** Units granted over time, and the most in any window of 8 s. */
+/** Records granted units and their maximum over any window of 8 s. */
 class WindowMeter
 {
 public:
@@ -114,13 +115,12 @@
 
 } // namespace
 
-// Guards against entries that keep a limit each for itself when they are cut
-// off.
-TEST_CASE("EntriesTogetherKeepACustomersLimitAlsoThoseThatAreCutOff")
+// Guards against partitioned entries that each grant the whole limit.
+TEST_CASE("ALimitHoldsForAllEntriesIncludingPartitionedOnes")
 {
   rc::prop("window", [] {
     const std::size_t entries = 9;
-    const int cut = *rc::gen::inRange(0, 6);
+    const int partitioned = *rc::gen::inRange(0, 6);
     const double units = *rc::gen::inRange(20, 120);
     QuotaAllocator allocator = MakeAllocator();
     QuotaFloors committed;
@@ -129,21 +129,22 @@
     const auto addresses = Addresses(entries);
     WindowMeter meter;
     for (int ms = 0; ms < 30000; ms += 10) {
-      const auto which = static_cast<std::size_t>(ms / 10) % entries;
-      QuotaClient& client = clients[which];
-      const bool reaches = which >= static_cast<std::size_t>(cut) || ms < 5000;
-      if (ms % 270 < 90 && reaches) {
+      const auto index = static_cast<std::size_t>(ms / 10) % entries;
+      QuotaClient& client = clients[index];
+      const bool isConnected =
+        index >= static_cast<std::size_t>(partitioned) || ms < 5000;
+      if (ms % 270 < 90 && isConnected) {
         client.HandleLease(
-          allocator.Renew(addresses[which], client.Lease(), At(ms)), At(ms));
+          allocator.Renew(addresses[index], client.Lease(), At(ms)), At(ms));
       }
       CommitFloors(allocator, committed, At(ms));
-      // A quiet time first: accounts fill up.
+      // Low load for the first 10 s, so that the account fills up.
       if (ms < 10000 && ms % 500 != 0) {
         continue;
       }
       const auto answer = client.Acquire(MakeCustomer(), units, At(ms));
       bool granted = answer.mOutcome == QuotaOutcome::kGranted;
-      if (answer.mOutcome == QuotaOutcome::kPending && reaches) {
+      if (answer.mOutcome == QuotaOutcome::kPending && isConnected) {
         for (const auto& one : client.HandleResponse(
                allocator.HandleRequest(kEntry, answer.mRequest, At(ms)))) {
           granted = granted || one.mGranted;
@@ -160,18 +161,19 @@
     }
     const double allowed = (kRate * 8 + kRate) * 1.1 + kSlack;
     RC_ASSERT(meter.Max() <= allowed);
-    // The limit is not only kept: what it allows is given.
+    // Units within the limit must be granted as well.
     RC_ASSERT(meter.Max() >= kRate * 7);
   });
 }
 
-// Guards against what entries saved and a new leader's account adding up.
-TEST_CASE("TheLimitHoldsWhileTheLeadChanges")
+// Guards against granting both the units that entries accrued and those of a
+// new leader's account.
+TEST_CASE("ALimitHoldsAcrossALeaderChange")
 {
-  rc::prop("lead", [] {
+  rc::prop("leader change", [] {
     const std::size_t entries = 9;
-    const int lostAt = *rc::gen::inRange(10000, 20000);
-    const int backAt = lostAt + *rc::gen::inRange(300, 4000);
+    const int failedAt = *rc::gen::inRange(10000, 20000);
+    const int electedAt = failedAt + *rc::gen::inRange(300, 4000);
     const double units = *rc::gen::inRange(20, 80);
     const auto addresses = Addresses(entries);
     QuotaFloors committed;
@@ -182,23 +184,23 @@
     std::vector<QuotaClient> clients(entries);
     WindowMeter meter;
     for (int ms = 0; ms < 30000; ms += 10) {
-      if (ms >= lostAt && ms < backAt) {
+      if (ms >= failedAt && ms < electedAt) {
         allocator.reset();
       } else if (!allocator) {
         allocator.emplace(Bounds(), kAllocatorId + 1, 2, committed, At(ms));
         allocator->SetCustomers({ MakeCustomer() }, At(ms));
         allocator->SetEntries(addresses, At(ms));
       }
-      const auto which = static_cast<std::size_t>(ms / 10) % entries;
-      QuotaClient& client = clients[which];
+      const auto index = static_cast<std::size_t>(ms / 10) % entries;
+      QuotaClient& client = clients[index];
       if (allocator) {
         CommitFloors(*allocator, committed, At(ms));
         if (ms % 270 < 90) {
           client.HandleLease(
-            allocator->Renew(addresses[which], client.Lease(), At(ms)), At(ms));
+            allocator->Renew(addresses[index], client.Lease(), At(ms)), At(ms));
         }
       }
-      if (ms < lostAt - 3000 && ms % 500 != 0) {
+      if (ms < failedAt - 3000 && ms % 500 != 0) {
         continue;
       }
       const auto answer = client.Acquire(MakeCustomer(), units, At(ms));
@@ -220,7 +222,7 @@
   });
 }
 
-TEST_CASE("ACustomerBelowItsLimitIsNotRefusedHoweverUnevenlyItAsks")
+TEST_CASE("ACustomerBelowItsLimitIsNotRefusedDespiteBursts")
 {
   QuotaAllocator allocator = MakeAllocator();
   QuotaFloors committed;
@@ -230,7 +232,7 @@
       CommitFloors(allocator, committed, At(ms - 500 + since));
     }
     const std::uint64_t units = ms % 4000 == 0 ? 1200 : 190;
-    // A new bank is not full; after a few seconds it is as full as it gets.
+    // A new account is not full; it fills up within a few seconds.
     const bool granted =
       RequestUnits(allocator, committed, static_cast<double>(units), At(ms))
         .mGranted;
@@ -239,48 +241,50 @@
   CHECK(refused == 0);
 }
 
-// Guards against a new leader whose accounts begin empty: callers that waited
-// come at once.
+// Guards against a new leader whose accounts start empty: requests that were
+// waiting for a leader arrive at once.
 TEST_CASE("CallersBelowTheirLimitAreServedByANewLeader")
 {
   constexpr double kUsed = kRate / 1.8;
   constexpr double kUnits = 25.0;
   QuotaAllocator allocator = MakeAllocator();
   QuotaFloors committed;
-  int asked = 0;
+  int requested = 0;
   int refused = 0;
   double proposed = 0.0;
   for (int ms = 0; ms < 1000; ++ms) {
     CommitFloors(allocator, committed, At(ms));
     proposed += kUsed / 1000 + (ms < 333 ? 1.5 * kUsed / 333 : 0.0);
     for (; proposed >= kUnits; proposed -= kUnits) {
-      ++asked;
+      ++requested;
       refused +=
         RequestUnits(allocator, committed, kUnits, At(ms)).mGranted ? 0 : 1;
     }
   }
-  INFO(refused << " of " << asked << " refused; 28 of 55 by an empty account");
-  CHECK(refused <= asked / 6);
+  INFO(refused << " of " << requested
+               << " refused; an initially empty account refuses 28 of 55");
+  CHECK(refused <= requested / 6);
 }
 
-TEST_CASE("ARefusalSaysWhenSoManyUnitsAreThereAgain")
+TEST_CASE("ARefusalStatesWhenTheUnitsAreAvailable")
 {
   QuotaAllocator allocator = MakeAllocator();
   QuotaFloors committed;
-  std::uint32_t wait = 0;
-  for (int i = 0; i < 100 && wait == 0; ++i) {
+  std::uint32_t retryAfter = 0;
+  for (int i = 0; i < 100 && retryAfter == 0; ++i) {
     CommitFloors(allocator, committed, At(0));
-    wait = RequestUnits(allocator, committed, 500, At(0)).mRetryAfterMs;
+    retryAfter = RequestUnits(allocator, committed, 500, At(0)).mRetryAfterMs;
   }
-  REQUIRE(wait > 0);
-  for (int ms = 0; ms < static_cast<int>(wait); ms += 50) {
+  REQUIRE(retryAfter > 0);
+  for (int ms = 0; ms < static_cast<int>(retryAfter); ms += 50) {
     CommitFloors(allocator, committed, At(ms));
   }
-  CHECK(RequestUnits(allocator, committed, 500, At(static_cast<int>(wait)))
-          .mGranted);
+  CHECK(
+    RequestUnits(allocator, committed, 500, At(static_cast<int>(retryAfter)))
+      .mGranted);
 }
 
-TEST_CASE("ALowerLimitTakesEffectAtOnceAHigherOneDoesNotFillUp")
+TEST_CASE("ALowerLimitTakesEffectImmediately")
 {
   QuotaAllocator allocator = MakeAllocator();
   Customer customer = MakeCustomer();
@@ -288,15 +292,15 @@
   customer.mBurst = 10;
   allocator.SetCustomers({ customer }, At(10));
   QuotaFloors committed;
-  double given = 0;
+  double total = 0;
   for (int i = 0; i < 200; ++i) {
     CommitFloors(allocator, committed, At(20));
-    given += RequestUnits(allocator, committed, 50, At(20)).mGranted ? 50 : 0;
+    total += RequestUnits(allocator, committed, 50, At(20)).mGranted ? 50 : 0;
   }
-  CHECK(given <= 0.7 * kSlack + 100);
+  CHECK(total <= 0.7 * kSlack + 100);
 }
 
-TEST_CASE("AGateWaitsForANewLeaderAndThenRefusesUntilOneAnswers")
+TEST_CASE("AClientWaitsForANewLeaderThenRefusesUntilItResponds")
 {
   QuotaClient client;
   const Customer customer = MakeCustomer();
@@ -310,7 +314,8 @@
   REQUIRE(decided.size() == 1);
   CHECK_FALSE(decided.front().mGranted);
   CHECK(decided.front().mRetryAfter > Duration(0));
-  // Silent for long: refused at once, and asked from time to time only.
+  // The leader has been unresponsive for long: requests are refused at once,
+  // and only a few are sent to it as probes.
   CHECK(client.Acquire(customer, 100, At(1300)).mOutcome ==
         QuotaOutcome::kPending);
   CHECK(client.Acquire(customer, 100, At(1310)).mOutcome ==
@@ -320,9 +325,9 @@
         QuotaOutcome::kPending);
 }
 
-// Guards against an own part that is used beside the leader's, or before it is
-// there.
-TEST_CASE("AnEntryUsesItsOwnPartOnlyOnceItsLeaseHasEnded")
+// Guards against using the fallback share while the leader accrues it, or
+// before it has accrued.
+TEST_CASE("AnEntryUsesItsFallbackShareOnlyAfterItsLeaseExpires")
 {
   QuotaClient client;
   const Customer customer = MakeCustomer();
@@ -335,7 +340,7 @@
         QuotaOutcome::kGranted);
   CHECK(client.Acquire(customer, 10, At(1010)).mOutcome ==
         QuotaOutcome::kPending);
-  // A second of a fourth of the rate is saved up, and no more.
+  // At most one second of a fourth of the rate is accrued.
   CHECK(client.Acquire(customer, 251, At(5000)).mOutcome !=
         QuotaOutcome::kGranted);
   CHECK(client.Acquire(customer, 250, At(5000)).mOutcome ==
@@ -347,8 +352,8 @@
         QuotaOutcome::kPending);
 }
 
-// Guards against a request that is counted twice when its answer comes late.
-TEST_CASE("AGateReturnsWhatItIsGrantedForRequestsThatNoLongerWait")
+// Guards against counting a request twice if its response arrives late.
+TEST_CASE("AClientReturnsUnitsGrantedAfterTheTimeout")
 {
   QuotaClient client;
   QuotaAllocator allocator = MakeAllocator();
@@ -367,18 +372,18 @@
         QuotaOutcome::kPending);
 }
 
-// Guards against returned units that are used beside what the account has
-// gained in their place.
-TEST_CASE("ALeaderPutsBackOnlyWhatItsAccountHasNotGainedMeanwhile")
+// Guards against using returned units in addition to what the account has
+// accrued in their place.
+TEST_CASE("ReturnedUnitsAreReducedByWhatTheAccountHasAccrued")
 {
   const auto granted = [](int aReturnedAtMs) {
     QuotaAllocator allocator = MakeAllocator();
     QuotaFloors committed;
     const CustomerName name("c");
-    double given = 0;
+    double total = 0;
     const auto drain = [&](int aMs) {
       for (int i = 0; i < 200; ++i) {
-        given +=
+        total +=
           RequestUnits(allocator, committed, 100, At(aMs)).mGranted ? 100 : 0;
       }
     };
@@ -392,9 +397,9 @@
       kEntry,
       { .mReturns = { { kAllocatorId, response.mGrantedAt, name, 500 } } },
       At(aReturnedAtMs));
-    given = 0;
+    total = 0;
     drain(aReturnedAtMs);
-    return given;
+    return total;
   };
   CHECK(granted(0) == 500);
   CHECK(granted(300) <= 500);
@@ -402,50 +407,50 @@
   CHECK(granted(1000) >= 800);
 }
 
-// Guards against a new leader that grants what an earlier one has granted.
-TEST_CASE("ANewLeaderBeginsWithTheCommittedFloors")
+// Guards against a new leader granting units that an earlier one has granted.
+TEST_CASE("ANewLeaderStartsWithTheCommittedFloors")
 {
   QuotaAllocator first = MakeAllocator();
   QuotaFloors committed;
-  double given = 0;
+  double total = 0;
   const auto drain = [&](QuotaAllocator& aAllocator) {
     for (int i = 0; i < 200; ++i) {
-      given +=
+      total +=
         RequestUnits(aAllocator, committed, 100, At(10)).mGranted ? 100 : 0;
     }
   };
   drain(first);
-  const double firstTotal = given;
+  const double firstTotal = total;
   CHECK(firstTotal >= 2 * kRate);
   QuotaAllocator second(Bounds(), kAllocatorId + 1, 2, committed, At(10));
   second.SetCustomers({ MakeCustomer() }, At(10));
   drain(second);
-  CHECK(given <= firstTotal + 100);
+  CHECK(total <= firstTotal + 100);
 }
 
-// Guards against floors that are used before they are committed.
+// Guards against granting down to a floor that is not committed yet.
 TEST_CASE("ALeaderGrantsNothingBelowTheCommittedFloor")
 {
   QuotaAllocator allocator = MakeAllocator();
   const QuotaRequest request{ .mItems = { { CustomerName("c"), 100, 1 } } };
   const auto drain = [&](QuotaAllocator& aAllocator) {
-    double given = 0;
+    double total = 0;
     for (int i = 0; i < 200; ++i) {
       for (const auto& result :
            aAllocator.HandleRequest(kEntry, request, At(10)).mResults) {
-        given += result.mGranted ? 100 : 0;
+        total += result.mGranted ? 100 : 0;
       }
     }
-    return given;
+    return total;
   };
-  const double given = drain(allocator);
+  const double total = drain(allocator);
   const auto proposed = allocator.ProposeFloors(At(10));
   REQUIRE(proposed.has_value());
   CHECK(drain(allocator) == 0);
   QuotaAllocator next(Bounds(), kAllocatorId + 1, 2, QuotaFloors{}, At(10));
   next.SetCustomers({ MakeCustomer() }, At(10));
   const double limit = (kRate * 8 + kRate) * 1.1 + kSlack;
-  CHECK(given + drain(next) <= limit - kRate * 8);
+  CHECK(total + drain(next) <= limit - kRate * 8);
   CHECK(allocator.TakeDeferredResponses(At(11)).empty());
   allocator.ApplyCommittedFloors(*proposed);
   const auto answered = allocator.TakeDeferredResponses(At(12));
@@ -453,8 +458,9 @@
   CHECK(answered.front().mResponse.mResults.front().mGranted);
 }
 
-// Guards against requests that wait for a disk that doesn't answer.
-TEST_CASE("WhatWaitsForAFloorIsRefusedInTime")
+// Guards against requests that wait without bound for a disk that doesn't
+// respond.
+TEST_CASE("ADeferredRequestIsRefusedAfterTheTimeout")
 {
   QuotaAllocator allocator = MakeAllocator();
   const QuotaRequest request{ .mItems = { { CustomerName("c"), 500, 1 } } };
@@ -467,7 +473,7 @@
   CHECK(answered.front().mResponse.mResults.front().mRetryAfterMs > 0);
 }
 
-TEST_CASE("WhatIsLargerThanAnAccountIsRefusedForLong")
+TEST_CASE("ARequestLargerThanTheAccountIsRefusedWithALongRetryAfter")
 {
   QuotaAllocator allocator = MakeAllocator();
   const auto result =
@@ -479,7 +485,7 @@
   CHECK(result.mRetryAfterMs >= 5000);
 }
 
-TEST_CASE("ACustomerWithoutALimitIsNeverAskedFor")
+TEST_CASE("ACustomerWithoutALimitIsAlwaysGranted")
 {
   QuotaClient client;
   CHECK(client.Acquire(Customer{ .mName = CustomerName("free") }, 1e9, At(0))
--- a/test/gateway/ServiceRetryBudgetTest.cpp
+++ b/test/gateway/ServiceRetryBudgetTest.cpp
@@ -20,10 +20,10 @@
 
 } // namespace
 
-// Symptom: a service in trouble got three times its usual load.
-// Sequence: its upstreams failed, and each entry repeated each request.
-// Cause: repeats were bounded for each request, not for all together.
-TEST_CASE("RepeatBudgetKeepsAllEntriesTogetherUnderTheBound")
+// Guards against retries that multiply the load of a failing service: its
+// upstreams fail, and each entry retries each request. With retries bounded
+// only per request, the service gets three times its usual load.
+TEST_CASE("ServiceRetryBudgetBoundsAllEntriesTogether")
 {
   rc::prop("windows", [] {
     const std::size_t entries = *rc::gen::inRange<std::size_t>(1, 6);
@@ -60,7 +60,7 @@
 
 namespace {
 
-/** Repeats and requests by tenths of a second, of all entries together. */
+/** Retries and requests of all entries together, per tenth of a second. */
 struct RetrySimulation
 {
   std::vector<int> mRequests = std::vector<int>(400);
@@ -77,7 +77,7 @@
   return sum;
 }
 
-/** Upstreams fail from second 12 on; entries restart some time later. */
+/** Upstreams fail from second 12 on; aShare of the entries restart later. */
 RetrySimulation
 SimulateRestarts(std::size_t aEntries, int aRestartTenth, double aShare)
 {
@@ -111,8 +111,9 @@
 
 } // namespace
 
-// Guards against entries that repeat as if they had not before they restarted.
-TEST_CASE("RepeatBudgetHoldsWhenEntriesRestart")
+// Guards against restarted entries that ignore their retries before the
+// restart.
+TEST_CASE("ServiceRetryBudgetHoldsWhenEntriesRestart")
 {
   for (const std::size_t entries : { 3, 9, 70 }) {
     for (const double share : { 0.55, 1.0 }) {
@@ -135,8 +136,8 @@
   }
 }
 
-// Guards against two bursts that are less than a window apart.
-TEST_CASE("RepeatBudgetCountsOverNoLessThanAWindow")
+// Guards against two bursts of retries less than a window apart.
+TEST_CASE("ServiceRetryBudgetCoversAFullWindow")
 {
   ServiceRetryBudget budget(
     { .mRatio = 0.2, .mFixedAllowance = 20.0, .mEntryCount = 2 });
@@ -146,7 +147,7 @@
   CHECK_FALSE(budget.TryAcquireRetry(service, At(10900)));
 }
 
-TEST_CASE("RepeatBudgetGivesAServiceWithoutRequestsItsPartOfTheExtra")
+TEST_CASE("AServiceWithoutRequestsGetsItsPartOfTheFixedAllowance")
 {
   ServiceRetryBudget budget(
     { .mRatio = 0.2, .mFixedAllowance = 20.0, .mEntryCount = 2 });
--- a/test/gateway/TokenCountsTest.cpp
+++ b/test/gateway/TokenCountsTest.cpp
@@ -16,7 +16,7 @@
   }
 }
 
-TEST_CASE("WhatNoEngineHoldsIsNotBelieved")
+TEST_CASE("TokenCountsAreClampedToWhatAnEngineCanHold")
 {
   const auto counts = ParseTokenCounts("18446744073709551615,3");
   REQUIRE(counts.has_value());
--- a/test/gateway/UsageTest.cpp
+++ b/test/gateway/UsageTest.cpp
@@ -26,10 +26,10 @@
 
 } // namespace
 
-// Symptom: the cloud got usage of a window that lay two seconds off.
-// Sequence: the leader's time of day jumped ahead, and back again later.
-// Cause: windows were cut by the leader's own time of day.
-TEST_CASE("CommonClockFollowsMostClocksNotTheOneThatJumped")
+// Guards against reporting usage for a window that is shifted by two seconds:
+// the leader's wall clock jumps ahead and later back, and windows follow that
+// clock.
+TEST_CASE("MedianClockIgnoresClocksThatJump")
 {
   MedianClock clock;
   CHECK_FALSE(clock.Micros(At(0)));
@@ -44,11 +44,11 @@
   CHECK(std::abs(*micros - Micros(1000100)) < 1500);
 }
 
-TEST_CASE("UsageTallyCountsByTheCommonTime")
+TEST_CASE("UsageCounterUsesTheMedianTime")
 {
   UsageCounter counter(kWindow, 1);
   counter.SetMedianTime(Micros(12000), At(0));
-  // The own time of day is wrong by an hour.
+  // The local wall clock is wrong by an hour.
   counter.Count(kCustomer, Micros(3600000), At(2999));
   counter.Count(kCustomer, Micros(3600000), At(3001));
   const UsageReport report = counter.Report(0);
@@ -57,7 +57,7 @@
   CHECK(report.mWindows[1].mNumber == 3);
 }
 
-TEST_CASE("UsageDeskAddsUpLivesAndTakesEachOnesNewestReport")
+TEST_CASE("UsageSumsTheNewestReportOfEachIncarnation")
 {
   fleet::UsageDesk desk(kWindow, std::chrono::seconds(6));
   const auto report = [](std::uint64_t aIncarnation, std::uint64_t aCount) {
@@ -77,11 +77,11 @@
   CHECK_FALSE(desk.Due(3, Micros(60000)));
 }
 
-// Symptom: a window's usage lacked a quarter of its requests.
-// Sequence: two entries were cut off from the leader for some seconds and went
-// on serving; the window was settled a second after its end.
-// Cause: what had come by then was taken for all.
-TEST_CASE("AWindowWaitsForEntriesThatAreCutOffAsLongAsItCan")
+// Guards against settling a window too early: two entries are partitioned from
+// the leader for some seconds while serving, the window is settled a second
+// after its end without their reports, and a quarter of its requests is
+// missing.
+TEST_CASE("AWindowWaitsForPartitionedEntriesUntilItsDeadline")
 {
   fleet::UsageDesk desk(kWindow, std::chrono::seconds(6));
   const auto report = [](std::uint64_t aIncarnation, std::uint64_t aCount) {
@@ -93,12 +93,12 @@
   desk.Take(report(1, 5), Micros(16000));
   desk.Take(report(2, 5), Micros(20500));
   CHECK_FALSE(desk.Due(0, Micros(22000)));
-  SECTION("it comes back")
+  SECTION("the entry reconnects")
   {
     desk.Take(report(1, 9), Micros(24000));
     CHECK(desk.Due(0, Micros(24100))->mCounts.at(kCustomer) == 14);
   }
-  SECTION("it doesn't")
+  SECTION("the entry stays partitioned")
   {
     CHECK(desk.Due(0, Micros(26000))->mCounts.at(kCustomer) == 10);
   }
