--- a/include/peridotspool/gateway/QuotaAllocator.h
+++ b/include/peridotspool/gateway/QuotaAllocator.h
@@ -29,7 +29,7 @@
   Duration mWindow = std::chrono::seconds(8);
   /** Tolerated excess over the limit, as a fraction of it. */
   double mOvershoot = 0.1;
-  /** Tolerated excess over the limit besides, in units. */
+  /** Further tolerated excess, in units. */
   double mSlack = 0.0;
 };
 
--- a/include/peridotspool/gateway/QuotaFloors.h
+++ b/include/peridotspool/gateway/QuotaFloors.h
@@ -10,9 +10,9 @@
 namespace peridotspool::gateway {
 
 /**
- * The lowest balances to which the leader may grant, by customer, as committed
- * in the control log. A customer that isn't listed has the default floor of its
- * limit; see QuotaAllocator.
+ * The balances below which the leader grants no units, by customer, as
+ * committed in the control log. A customer that isn't listed has the default
+ * floor of its limit; see QuotaAllocator.
  */
 struct QuotaFloors
 {
--- a/src/gateway/QuotaAllocator.cpp
+++ b/src/gateway/QuotaAllocator.cpp
@@ -19,9 +19,11 @@
 constexpr double kDefaultFloorFraction = 0.75;
 /** Floors are proposed this far below the balance. */
 constexpr double kFloorMarginFraction = 0.25;
-/** A lower floor is proposed when the balance is closer to it than this. */
+/** A lower floor is proposed when the balance is closer than this to the
+ * current one. */
 constexpr double kLowMarginFraction = 0.125;
-/** A higher floor is proposed when the balance is further above it. */
+/** A higher floor is proposed when the balance is further than this above the
+ * current one. */
 constexpr double kHighMarginFraction = 0.5;
 /** Prefetching is granted only if this balance remains. */
 constexpr double kMinPrefetchBalanceFraction = 0.6;
@@ -94,8 +96,8 @@
   return std::min(floor, aAccount.mMaxBalance);
 }
 
-// The account of a removed customer is kept for a while. A customer that is
-// removed and added again would otherwise get a new account.
+// The account of a removed customer is kept for a while. Otherwise a customer
+// that is removed and added again would start with a new balance.
 void
 QuotaAllocator::SetCustomers(const std::vector<Customer>& aCustomers,
                              TimePoint aNow)
@@ -199,7 +201,8 @@
 void
 QuotaAllocator::AddUnits(Account& aAccount, double aUnits, TimePoint aNow) const
 {
-  // Entries may still hold units that they prefetched from an earlier leader.
+  // After a leader change, entries may still hold units that the earlier leader
+  // let them prefetch.
   const double earlierPrefetch = aNow - mStartedAt < 2 * kPrefetchLifetime
                                    ? kMaxPrefetchFraction * aAccount.mMaxBalance
                                    : 0.0;
--- a/src/gateway/QuotaLeases.cpp
+++ b/src/gateway/QuotaLeases.cpp
@@ -32,7 +32,7 @@
 }
 
 // A member that has not reported to this leader yet may have held an earlier
-// leader's lease that has expired.
+// leader's lease that has expired, and so may be using its fallback share.
 void
 QuotaLeases::SetEntries(const std::vector<Address>& aEntries, TimePoint aNow)
 {
