--- a/include/peridotspool/gateway/ServiceRetryBudget.h
+++ b/include/peridotspool/gateway/ServiceRetryBudget.h
@@ -36,7 +36,7 @@
 public:
   explicit ServiceRetryBudget(ServiceRetryBudgetOptions aOptions);
 
-  void SetEntryCount(std::size_t aEntries);
+  void SetEntryCount(std::size_t aEntryCount);
   /** Counts a caller's request to the service. */
   void RecordRequest(const ServiceName& aService, TimePoint aNow);
   /** Takes one retry from the budget; returns false iff none is left. */
--- a/src/gateway/ServiceRetryBudget.cpp
+++ b/src/gateway/ServiceRetryBudget.cpp
@@ -22,9 +22,9 @@
 }
 
 void
-ServiceRetryBudget::SetEntryCount(std::size_t aEntries)
+ServiceRetryBudget::SetEntryCount(std::size_t aEntryCount)
 {
-  mOptions.mEntryCount = std::max<std::size_t>(1, aEntries);
+  mOptions.mEntryCount = std::max<std::size_t>(1, aEntryCount);
 }
 
 ServiceRetryBudget::Slice&
