--- a/test/gateway/CoordinatorMapTest.cpp
+++ b/test/gateway/CoordinatorMapTest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("AKeeperIsOfTheUpstreamsOwnDomainIfThereIsOne")
+TEST_CASE("CoordinatorIsInTheUpstreamsFailureDomainIfPossible")
 {
   CoordinatorMap map;
   CHECK_FALSE(map.CoordinatorOf(Upstream(1), FailureDomain("d1")));
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_CASE("AccountsAreSpreadAndFewMoveWhenAnEntryGoes")
+TEST_CASE("UpstreamsAreSpreadAndOnlyThoseOfARemovedEntryMove")
 {
   CoordinatorMap before;
   auto coordinators = MakeCoordinators(1, 50);
--- a/test/gateway/EmulatedEngine.cpp
+++ b/test/gateway/EmulatedEngine.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** What is left of a job when it is over, but for rounding. */
+/** Remaining work below this is a rounding error. */
 constexpr double kRoundingTolerance = 1e-9;
 
 } // namespace
@@ -52,8 +52,8 @@
          (mPrefilling.empty() ? 0.0 : mOptions.mChunk / mOptions.mTokensPerMs);
 }
 
-// Prompts are read while the others wait for their step, so the steps' own
-// time is lost to reading.
+// A step with a prefill takes the time of a plain step plus that of one chunk,
+// so prompts are prefilled more slowly than mTokensPerMs.
 void
 EmulatedEngine::Prefill(double aMs)
 {
--- a/test/gateway/EmulatedEngine.h
+++ b/test/gateway/EmulatedEngine.h
@@ -10,25 +10,29 @@
 struct EngineOptions
 {
   double mTokensPerMs = 50.0;
-  /** From a prompt's last token read to its first event at the entry; the
-   * engine reads the next prompt meanwhile. */
+  /**
+   * Time from the end of the prefill to the first event at the entry; the
+   * engine prefills the next prompt meanwhile.
+   */
   double mFirstMs = 0.0;
-  /** A step of the batch in which no prompt is read. */
+  /** Duration of a step of the batch without a prefill. */
   double mStepMs = 0.0;
-  /** Prompt tokens read in one step; all others wait for that step. */
+  /**
+   * Prompt tokens prefilled in one step; all other requests wait for that step.
+   */
   double mChunk = 2048.0;
-  /** Requests that have a place in the batch; the others wait for one. */
+  /** Slots of the batch; further requests wait for one. */
   std::size_t mSlots = 64;
 };
 
-/** What became of a request at an engine. */
+/** Progress of a request at an engine. */
 struct EngineEvent
 {
   enum class Kind
   {
-    /** Its prompt has been read. */
+    /** The prefill has finished. */
     kFirst,
-    /** All of its answer has been generated. */
+    /** The whole response has been generated. */
     kEnded,
   };
 
@@ -38,8 +42,8 @@
 };
 
 /**
- * An engine that batches: prompts are read one after the other, and each step
- * in which one is read takes as much longer for all that generate. Not
+ * Emulates a batching engine: prompts are prefilled one after the other, and a
+ * step with a prefill takes longer for all requests that generate. Not
  * thread-safe.
  */
 class EmulatedEngine
@@ -47,11 +51,11 @@
 public:
   explicit EmulatedEngine(EngineOptions aOptions);
 
-  /** aSteps: tokens of the answer, one for each step. */
+  /** aSteps is the number of response tokens, one for each step. */
   void Send(std::uint64_t aId, double aPrefillTokens, double aSteps);
-  /** The caller has left. */
+  /** Cancels a request whose caller has disconnected. */
   void Drop(std::uint64_t aId);
-  /** Works until aMs and adds what happened to aEvents. */
+  /** Advances to aMs and appends the events to aEvents. */
   void Advance(double aMs, std::vector<EngineEvent>& aEvents);
 
 private:
--- a/test/gateway/ExchangeLoadTest.cpp
+++ b/test/gateway/ExchangeLoadTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: gateway promise-whole-own-answer promise-at-most-once
-// Requests whose upstreams' coordinators answer, don't answer, or answer late.
+// Requests whose load coordinators respond, do not respond, or respond late.
 
 #include "gateway/GatewayFixture.h"
 
@@ -24,7 +24,9 @@
   };
 }
 
-/** A gateway before two upstreams, and what it says to their coordinator. */
+/**
+ * A gateway with two upstreams that records the messages to their coordinator.
+ */
 class QueryingGateway
 {
 public:
@@ -48,7 +50,7 @@
     mGateway.Add("u2", mTwo.Where());
   }
 
-  /** The tag of the last question, 0 if there was none. */
+  /** Returns the tag of the last query, 0 if there was none. */
   std::uint64_t LastQueryTag() const
   {
     const std::lock_guard lock(mMutex);
@@ -72,7 +74,10 @@
     return count;
   }
 
-  /** From now on the coordinator says this of both, before the wait is over. */
+  /**
+   * From now on the coordinator reports this load for both upstreams, before
+   * the timeout.
+   */
   void RespondToAll(std::uint32_t aWaitUs, std::uint32_t aRunning)
   {
     const std::lock_guard lock(mMutex);
@@ -103,7 +108,7 @@
   GatewayFixture mGateway;
 
 private:
-  // Posted on the relay thread, it is taken before any timer is looked at.
+  // Posted on the relay thread, so it is handled before any timer.
   void RespondAtOnce(std::uint64_t aTag)
   {
     GatewayCore& core = mGateway.Core();
@@ -129,7 +134,7 @@
 
 } // namespace
 
-TEST_CASE("ACallGoesToTheUpstreamThatItsKeeperCallsIdle")
+TEST_CASE("ACallGoesToTheUpstreamThatItsCoordinatorReportsIdle")
 {
   QueryingGateway gateway;
   Caller caller(gateway.mGateway.Where());
@@ -138,8 +143,8 @@
   gateway.Respond({ { .mUpstream = UpstreamName("u1"), .mRunning = 50 },
                     { .mUpstream = UpstreamName("u2"), .mRunning = 0 } });
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 200");
-  // The answer may have come after the wait on a busy machine; then either
-  // upstream is as good.
+  // On a busy machine the response may arrive after the timeout; then either
+  // upstream is a valid choice.
   if (gateway.Counted(CounterId::kLoadUnanswered) == 0) {
     CHECK(gateway.mTwo.Requests().size() == 1);
   }
@@ -147,11 +152,10 @@
   CHECK(gateway.Count<SendStartedReport>() == 1);
 }
 
-// Symptom: callers wait, or get no answer, while an entry is frozen or gone.
-// Sequence: it keeps account of the upstreams that a request may go to, and its
-// word comes after the request has been answered.
-// Cause: a request that needs the word of another entry.
-TEST_CASE("AKeeperThatIsSilentOrLateCostsNoAnswerAndNoSecondSend")
+// Callers must not wait or go without a response while another entry is frozen
+// or gone. Guards against a request that depends on the response of its load
+// coordinator, which here arrives after the request has been answered.
+TEST_CASE("AnUnresponsiveOrLateCoordinatorCausesNoLostResponseAndNoSecondSend")
 {
   QueryingGateway gateway;
   Caller caller(gateway.mGateway.Where());
@@ -163,30 +167,29 @@
   CHECK(gateway.Count<SendStartedReport>() == 1);
 }
 
-// Symptom: a request reaches an upstream after its caller has left.
-// Sequence: the caller leaves while its request waits for a coordinator's word.
-TEST_CASE("ACallerThatLeavesWhileItsKeeperIsAskedIsServedNoMore")
+// A request must not reach an upstream after its caller has disconnected. The
+// caller disconnects while the request waits for its load coordinator.
+TEST_CASE("ACallerThatDisconnectsDuringALoadQueryIsNotServed")
 {
   QueryingGateway gateway;
   Caller caller(gateway.mGateway.Where());
   caller.Send(RequestText("safe", "r1"));
   REQUIRE(Eventually([&] { return gateway.LastQueryTag() != 0; }));
-  // Held up, so that the caller's leaving is seen before the wait is over.
+  // Blocks the relay thread, so that the disconnect is seen before the timeout.
   gateway.mGateway.OnRelay([&] { caller.Close(); });
   REQUIRE(Eventually([&] { return gateway.mGateway.Exchanges() == 0; }));
-  // On a busy machine the wait may have been over first: then it was sent, and
-  // taken back.
+  // On a busy machine the timeout may come first: then the request was sent and
+  // cancelled.
   const std::size_t sent = gateway.Count<SendStartedReport>();
   CHECK(gateway.Count<SendEndedReport>() == sent);
   gateway.Respond({ { .mUpstream = UpstreamName("u1"), .mRunning = 0 } });
   CHECK(gateway.Count<SendStartedReport>() == sent);
 }
 
-// Symptom: during an overload, and after it, nobody had the first event in
-// time. Sequence: all engines are behind by more than what is still on time,
-// and each new prompt is sent behind the others. Cause: what was known to be
-// late was sent all the same.
-TEST_CASE("APromptThatWouldBeLateIsRefusedAtOnceAndWasNotSent")
+// During and after an overload no first event was on time: all engines were
+// further behind than the objective, and each new prompt was queued behind the
+// others although it was known to be late.
+TEST_CASE("APromptExpectedToBeLateIsRefusedWithoutBeingSent")
 {
   QueryingGateway gateway;
   gateway.RespondToAll(5000000, 8);
@@ -201,9 +204,9 @@
   CHECK(gateway.mOne.Requests().size() + gateway.mTwo.Requests().size() == 0);
 }
 
-// An engine that has room begins sooner than what waits to be read lets expect,
-// and a plain call has nothing to be read.
-TEST_CASE("OnlyAPromptThatAFullUpstreamKeepsWaitingIsRefusedAsLate")
+// An engine with free slots starts prompts sooner than its prefill backlog
+// suggests, and a plain call needs no prefill.
+TEST_CASE("OnlyPromptsForFullUpstreamsAreRefusedAsLate")
 {
   QueryingGateway gateway;
   gateway.RespondToAll(5000000, 1);
--- a/test/gateway/FailingUpstreamTest.cpp
+++ b/test/gateway/FailingUpstreamTest.cpp
@@ -1,6 +1,6 @@
 // ctest-labels: unit
-// Plays plain calls to a few upstreams, of which one fails all that it gets,
-// and looks at how many callers get its failures.
+// Simulates plain calls to a few upstreams, one of which fails every call, and
+// measures how many callers get a failure.
 
 #include "peridotspool/gateway/LoadCoordinator.h"
 #include "peridotspool/gateway/UpstreamSelector.h"
@@ -20,7 +20,7 @@
 constexpr int kUpstreams = 4;
 constexpr int kCallsEachSecond = 180;
 constexpr int kDurationMs = 5000;
-/** A failure comes at once, a good answer after the work. */
+/** A failure is returned at once, a successful response only after the work. */
 constexpr int kFailureMs = 5;
 constexpr int kWorkMs = 30;
 
@@ -52,7 +52,7 @@
   SentRequest mSent;
 };
 
-/** Returns the part of the calls that failed. */
+/** Returns the fraction of failed calls. */
 double
 Simulate(bool aQueryCoordinator, unsigned aSeed)
 {
@@ -108,21 +108,20 @@
 
 } // namespace
 
-// Symptom: for as long as one of four upstreams failed all that it got, a
-// quarter of the calls failed.
-// Sequence: 180 calls a second through 68 entries; the failing upstream answers
-// at once, and so looks idle.
-// Cause: no entry saw four failures in a row before it saw its ejection end.
-TEST_CASE("WhatAllEntriesSeeOfAFailingUpstreamKeepsCallsAwayFromIt")
+// While one of four upstreams failed every call, a quarter of all calls failed.
+// With 180 calls per second through 68 entries, the failing upstream responds
+// at once and so looks idle, and no entry saw four consecutive failures before
+// its ejection of the upstream had ended.
+TEST_CASE("CoordinatorsKeepCallsAwayFromAFailingUpstream")
 {
   for (const unsigned seed : { 1U, 2U, 3U }) {
-    const double alone = Simulate(false, seed);
-    const double asked = Simulate(true, seed);
-    INFO("seed " << seed << ": failed " << alone
-                 << " of the calls by own sends, " << asked
-                 << " by coordinators");
-    CHECK(alone > 0.15);
-    CHECK(asked < 0.05);
+    const double ownSends = Simulate(false, seed);
+    const double coordinated = Simulate(true, seed);
+    INFO("seed " << seed << ": failed " << ownSends
+                 << " of the calls by own sends, " << coordinated
+                 << " with coordinators");
+    CHECK(ownSends > 0.15);
+    CHECK(coordinated < 0.05);
   }
 }
 
--- a/test/gateway/FailureRateTest.cpp
+++ b/test/gateway/FailureRateTest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("TheShareOfFailuresIsOfWhatEndedLately")
+TEST_CASE("FailureRateCoversRecentSends")
 {
   FailureRate rate;
   CHECK(rate.Percent(At(0)) == 0);
@@ -30,10 +30,10 @@
   CHECK(rate.Percent(At(9000)) == 0);
 }
 
-// Symptom: an upstream that failed for two seconds is never used again, or one
-// failure of a seldom used one keeps everybody away.
-// Cause: a share of very few sends, or of old ones.
-TEST_CASE("FewOrOldSendsSayNothing")
+// An upstream that failed for two seconds must not be avoided forever, and one
+// failure of a rarely used one must not keep all entries away. Guards against a
+// rate over very few or old sends.
+TEST_CASE("FailureRateIsZeroForFewOrOldSends")
 {
   FailureRate rate;
   rate.Record(true, At(0));
--- a/test/gateway/LoadCoordinatorTest.cpp
+++ b/test/gateway/LoadCoordinatorTest.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("AKeeperAddsUpWhatAllEntriesSend")
+TEST_CASE("ACoordinatorSumsTheSendsOfAllEntries")
 {
   LoadCoordinator coordinator;
   CHECK(LoadOf(coordinator, 0) == UpstreamLoad{ .mUpstream = kOne });
@@ -50,24 +50,24 @@
                                                  .mWaitUs = 350000,
                                                  .mRunning = 2,
                                                  .mCachedTokens = 5300 });
-  // The first was read 60 ms later than expected, and so will be the second.
+  // The first prefill ended 60 ms later than planned, so the second will too.
   coordinator.Handle(PrefillDoneReport{ kOne, 1 }, At(160));
   CHECK(LoadOf(coordinator, 160).mWaitUs == 300000);
   coordinator.Handle(SendEndedReport{ kOne, 1, true }, At(200));
   CHECK(LoadOf(coordinator, 200).mWaitUs == 260000);
   CHECK(LoadOf(coordinator, 200).mRunning == 1);
-  // Its caller left before it was read: nobody waits for its prompt.
+  // Its caller disconnected before the prefill, so its prompt no longer counts.
   coordinator.Handle(SendEndedReport{ kOne, 2, false }, At(200));
   CHECK(LoadOf(coordinator, 200).mWaitUs == 0);
   CHECK(LoadOf(coordinator, 200).mRunning == 0);
   CHECK(LoadOf(coordinator, 200).mCachedTokens == 5300);
 }
 
-// Symptom: an engine that has just started again gets nothing, or is taken to
-// keep prompts that it never read.
-// Sequence: it starts again under its name; words of its earlier life come
-// late.
-TEST_CASE("AnAccountEndsWithItsUpstreamsIncarnation")
+// A restarted engine must neither be avoided for the load of its earlier
+// incarnation nor be taken to cache prompts that it never processed. The engine
+// restarts under the same name, and reports about the earlier incarnation
+// arrive late.
+TEST_CASE("ANewIncarnationResetsTheLoadRecord")
 {
   LoadCoordinator coordinator;
   coordinator.Handle(Sent(1, 5000, 1), At(0));
@@ -83,10 +83,9 @@
   CHECK(LoadOf(coordinator, 20).mWaitUs == 0);
 }
 
-// Symptom: an engine looks full for ever.
-// Sequence: an entry is killed while it has requests there; nobody tells their
-// end.
-TEST_CASE("SendsWhoseEndNobodyTellsAreForgotten")
+// An engine must not look full forever. An entry is killed while it has
+// requests there, so their end is never reported.
+TEST_CASE("SendsWhoseEndIsNeverReportedExpire")
 {
   LoadCoordinator coordinator;
   for (std::uint64_t send = 1; send <= 12; ++send) {
@@ -101,7 +100,7 @@
   CHECK(coordinator.RecordCount() == 0);
 }
 
-TEST_CASE("OtherProcessesCannotFillAKeepersMemory")
+TEST_CASE("ReportsOfOtherProcessesCannotExhaustACoordinatorsMemory")
 {
   LoadCoordinator coordinator;
   for (std::uint64_t i = 0; i < 5000; ++i) {
--- a/test/gateway/LoadSheddingTest.cpp
+++ b/test/gateway/LoadSheddingTest.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-/** A prompt that is half a second too late, to be changed. */
+/** Base case for the tests: a prompt expected half a second too late. */
 FirstEventEstimate
 Late()
 {
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("WhoWouldBeLateIsToldWhenItWouldNotBe")
+TEST_CASE("ALatePromptGetsTheRetryAfterAtWhichItWouldBeOnTime")
 {
   CHECK(RetryAfterIfLate(Late()) == milliseconds(500));
   FirstEventEstimate hardly = Late();
@@ -30,7 +30,7 @@
   CHECK(RetryAfterIfLate(hardly) == milliseconds(200));
 }
 
-TEST_CASE("WhatMayBeInTimeIsServed")
+TEST_CASE("APromptThatMayBeOnTimeIsServed")
 {
   FirstEventEstimate inTime = Late();
   inTime.mExpectedFirstEvent = inTime.mObjective;
--- a/test/gateway/LoadSimulation.cpp
+++ b/test/gateway/LoadSimulation.cpp
@@ -12,9 +12,11 @@
 namespace {
 
 const ServiceName kService("s");
-/** Bringing a prefix from another engine, as a part of reading it. */
+/**
+ * Time to copy a prefix from another engine, as a fraction of its prefill time.
+ */
 constexpr double kCopyTimeFraction = 0.12;
-/** From one entry to another. */
+/** Latency of a message between entries. */
 constexpr double kMessageDelayMs = 2.0;
 
 TimePoint
@@ -147,7 +149,7 @@
            .mPrefilledFraction = prompted > 0.0 ? prefilled / prompted : 0.0 };
 }
 
-// It knows all engines and nothing of their work.
+// Knows all engines, with no load.
 UpstreamSelector
 LoadSimulation::IdleSelector() const
 {
@@ -179,7 +181,7 @@
                         .mUseLongShortlist = aUseLongShortlist };
   const TimePoint now = At(aOne.mAtMs);
   if (mPolicy == Policy::kPrefixOrder) {
-    // An idle selector orders the engines by the prefix alone.
+    // Without load, the choice follows the prefix's affinity order.
     return *IdleSelector().Choose(query, now);
   }
   UpstreamSelector& selector = SelectorOf(aOne.mEntry);
@@ -350,8 +352,8 @@
   mInFlightSends.erase(found);
 }
 
-// Sends are numbered in the order of their arrival, so those that wait longest
-// come first.
+// Sends are numbered in order of arrival, so those that wait longest come
+// first.
 void
 LoadSimulation::CancelTimedOut(double aMs)
 {
@@ -372,8 +374,8 @@
   }
 }
 
-// Events come to the entries a while after the engine's own time, so some of
-// those gathered here lie ahead.
+// Entries receive events some time after the engine emits them, so some of the
+// collected events lie in the future.
 void
 LoadSimulation::AdvanceTo(double aMs)
 {
--- a/test/gateway/LoadSimulation.h
+++ b/test/gateway/LoadSimulation.h
@@ -14,19 +14,19 @@
 
 namespace peridotspool::gateway {
 
-/** What callers loadQuery for, and who serves it. */
+/** Workload and the entries and engines that serve it. */
 struct Deployment
 {
   int mEntries = 10;
   int mEngines = 12;
   int mPrefixCount = 80;
   std::uint32_t mSlots = 64;
-  /** Tokens that an engine keeps. */
+  /** Capacity of the prefix cache of an engine. */
   std::uint64_t mCacheTokens = 10000000;
   double mTokensPerMs = 50.0;
-  /** From a prompt's last token read to its first event at the entry. */
+  /** Time from the end of the prefill to the first event at the entry. */
   double mFirstMs = 0.0;
-  /** A step of an engine's batch in which no prompt is read. */
+  /** Duration of a step of the batch without a prefill. */
   double mStepMs = 0.0;
   std::uint64_t mSharedTokens = 5400;
   double mMeanPrompt = 6600.0;
@@ -35,16 +35,16 @@
   double mAnswerTokens = 0.0;
   double mPromptsPerMs = 0.03;
   double mObjectiveMs = 600.0;
-  /** A caller without its first event leaves. */
+  /** A caller without a first event disconnects after this time. */
   double mTimeoutMs = 1e9;
-  /** The part of the coordinators' answers that come too late to be heard. */
+  /** Fraction of the coordinator responses that arrive after the timeout. */
   double mLateResponseShare = 0.0;
-  /** Times that a caller comes back after a refusal. */
+  /** Retries of a caller after refusals. */
   int mMaxRetries = 1;
   double mDurationMs = 60000.0;
 };
 
-/** A time in which more prompts are asked for, or fewer. */
+/** A period with a higher or lower rate of prompts. */
 struct Phase
 {
   double mFromMs = 0.0;
@@ -52,14 +52,16 @@
   double mRateFactor = 1.0;
 };
 
-/** How entries choose. */
+/** How entries choose an engine. */
 enum class Policy
 {
-  /** By the prefix's order alone. */
+  /** By the affinity order alone. */
   kPrefixOrder,
-  /** By expected time, from what the entry itself has sent. */
+  /** By expected time, based on the sends of the entry itself. */
   kOwnSends,
-  /** By expected time, asking the coordinators of the first few. */
+  /**
+   * By expected time, with load queries to the coordinators of the shortlist.
+   */
   kCoordinators,
 };
 
@@ -68,32 +70,32 @@
   double mAtMs = 0.0;
   PromptParts mPrompt;
   int mEntry = 0;
-  /** When its caller asked first, and how often it was refused since. */
+  /** Time of its first send, and the number of refusals since. */
   double mFirstSentMs = 0.0;
   int mRefusals = 0;
 };
 
-/** What became of one prompt. */
+/** Result of one prompt. */
 struct Served
 {
-  /** When its caller asked first. */
+  /** Time of its first send. */
   double mAtMs = 0.0;
-  /** From then on; its caller's patience where there was none. */
+  /** Time from the first send to the first event; mTimeoutMs without one. */
   double mFirstMs = 0.0;
-  /** It was refused for good. */
+  /** Refused, and not retried. */
   bool mRefused = false;
   double mPromptTokens = 0.0;
   double mPrefilledTokens = 0.0;
 };
 
-/** Of the prompts that came within a time. */
+/** Summary of the prompts first sent within a period. */
 struct Outcome
 {
   double mOnTimeFraction = 0.0;
   double mP95Ms = 0.0;
-  /** Refused for good. */
+  /** Fraction of the prompts that were refused and not retried. */
   double mRefusedFraction = 0.0;
-  /** Tokens read, as a part of those asked for. */
+  /** Prefilled tokens as a fraction of the prompt tokens. */
   double mPrefilledFraction = 0.0;
 };
 
@@ -102,7 +104,7 @@
          unsigned aSeed,
          const std::vector<Phase>& aPhases = {});
 
-/** Entries and engines, with the choice of one policy or another. */
+/** Simulates entries and engines under one choice policy. */
 class LoadSimulation
 {
 public:
@@ -157,13 +159,13 @@
   LoadCoordinator mCoordinator;
   std::mt19937 mRandom{ 1 };
   std::vector<Served> mServed;
-  /** Who was told to come back, by when that is. */
+  /** Refused prompts by the time of their retry. */
   std::multimap<double, Arrival> mRetries;
   std::map<std::uint64_t, InFlightSend> mInFlightSends;
   std::uint64_t mLastSend = 0;
-  /** The oldest send that may still have to be given up. */
+  /** Oldest send that may still time out. */
   std::uint64_t mOldestWaitingSend = 1;
-  /** Of the engines, not yet known to the entries, by time. */
+  /** Engine events by time that the entries have not received yet. */
   std::vector<EngineEvent> mEvents;
   std::deque<std::pair<double, std::function<void(TimePoint)>>> mMessages;
 };
--- a/test/gateway/OverloadRecoveryTest.cpp
+++ b/test/gateway/OverloadRecoveryTest.cpp
@@ -1,18 +1,19 @@
 // ctest-labels: unit
-// Symptom: too little was served on heavy days. Half of the worth of the
-// largest prompts was lost for the rest of the day, though nothing more
-// happened, and the engines that were left could have read all that was asked
-// of them. Sequence: engines crash and domains are reclaimed while more is
-// asked for; prompts wait in the engines for seconds. Then the load falls back
-// to what it was, and the waits stay. Cause: each first event that came late
-// made the engine as much later in the beliefs, once for each of the prompts
-// that waited there one behind the other. Engines were believed to be seconds
-// behind that had nothing to read, so prompts went to others that didn't keep
-// their prefix, and were read again there, which kept first events late.
-// Evidence: in the play below 25 of 100 engines had nothing to read and 2 were
-// believed to, and 3.5 s of waiting were believed in where 0.7 s were waited.
-// With the lateness counted once, and nothing else changed, 99 of 100 prompts
-// came in time again instead of 60 to 86.
+// After an overload, first events stayed late for as long as the load lasted,
+// and half of the value of the largest prompts was lost, although the remaining
+// engines could have prefilled everything. Engines crash and domains are
+// reclaimed while the load rises, and prompts wait in the engines for seconds;
+// then the load falls back to the former level and the waits remain. The cause
+// was that each late first event added the same delay to the estimated backlog
+// of its engine, once for each prompt that waited there. Idle engines were
+// estimated to be seconds behind, so prompts went to engines that did not cache
+// their prefix and were prefilled again there, which kept first events late.
+//
+// In the simulation below, 25% of the engines had nothing to prefill and 2%
+// were estimated so, and the estimated wait was 3.5 s where the actual one was
+// 0.7 s. With the delay counted once and nothing else changed, 99% of the
+// prompts were on time again after the overload, and 60% to 86% without that
+// change.
 #include "gateway/LoadSimulation.h"
 
 #include <catch2/catch.hpp>
@@ -24,11 +25,14 @@
 constexpr double kFullLoadFromMs = 16000.0;
 constexpr double kOverloadFromMs = 24000.0;
 constexpr double kOverloadToMs = 32000.0;
-/** All that waits at the overload's end has been read or its caller has left
- * after one patience; as long again for the prefixes. */
+/**
+ * By the end of one caller timeout (mTimeoutMs) all prompts that waited at the
+ * end of the overload have been prefilled or cancelled; the rest allows the
+ * prefix caches to recover.
+ */
 constexpr double kRecoveryMs = 12000.0;
 
-/** Engines that read two thirds of what they can on an ordinary day. */
+/** At the full load, engines prefill two thirds of what they can. */
 const Deployment kBusy{ .mEntries = 70,
                         .mEngines = 80,
                         .mPrefixCount = 1172,
@@ -63,7 +67,10 @@
     std::chrono::microseconds(response.mLoads.at(0).mWaitUs));
 }
 
-/** Half of the load, all of it, 2.2 times as much for 8 s, all of it again. */
+/**
+ * Half of the load, the full load, 2.2 times as much for 8 s, then the full
+ * load again.
+ */
 std::vector<Arrival>
 MakeOverload(const Deployment& aDeployment, unsigned aSeed)
 {
@@ -88,7 +95,7 @@
   INFO("seed " << aSeed << ": within 1,000 ms " << before.mOnTimeFraction
                << " before the overload, " << after.mOnTimeFraction
                << " from 12 s after it on; p95 " << before.mP95Ms << " and "
-               << after.mP95Ms << " ms; read " << before.mPrefilledFraction
+               << after.mP95Ms << " ms; prefilled " << before.mPrefilledFraction
                << " and " << after.mPrefilledFraction
                << " of the tokens; refused " << after.mRefusedFraction);
   CHECK(before.mOnTimeFraction > aMinBefore);
@@ -97,20 +104,19 @@
 
 } // namespace
 
-TEST_CASE("AfterAnOverloadFirstEventsComeAsSoonAsBefore")
+TEST_CASE("FirstEventLatencyRecoversAfterAnOverload")
 {
   for (const unsigned seed : { 1U, 2U, 3U }) {
     CheckRecovery(kBusy, seed, 0.95);
   }
 }
 
-// With a quarter less of engines all prompts together leave none of them a
-// moment without one, and none comes in time: what is read is for callers whose
-// answers come late or who have left, and it keeps the next ones waiting.
-// Sequence: 86 to 98 of 100 came in time; after an overload of 8 s none did,
-// for as long as the play goes on, at the load of before. Cause: a prompt that
-// is known to be late was sent all the same.
-TEST_CASE("WhatWouldBeLateDoesNotMakeAllOthersLate")
+// With a quarter fewer engines, the prompts keep all engines busy. Prefilling
+// prompts whose callers get a late response or have disconnected delays the
+// next ones, so after an overload of 8 s no first event was on time for the
+// rest of the simulation, at the load at which 86% to 98% were on time before.
+// The cause was that prompts known to be late were sent anyway.
+TEST_CASE("PromptsExpectedToBeLateDoNotDelayOthers")
 {
   Deployment full = kBusy;
   full.mEngines = 60;
@@ -119,16 +125,15 @@
   }
 }
 
-// Symptom: during an overload itself hardly anybody got a first event in time,
-// while the engines read two thirds of what was asked.
-// Sequence: all places of the engines' batches are taken, and as many prompts
-// wait for one. There is little left to read, so the next ones are sent too.
-// Cause: only what is to be read counted as waiting, a place in the batch
-// didn't. Evidence: first events of prompts sent to an engine with one and a
-// half times its places taken came 1.3 s later than believed, with twice as
-// many 2.1 s later, with places free 0.03 to 0.1 s later (68 entries, ten
-// seconds).
-TEST_CASE("WhileTooMuchIsAskedHalfOfItIsStillInTime")
+// During an overload hardly any first event was on time, although the engines
+// prefilled two thirds of the tokens. All batch slots are occupied and as many
+// prompts wait for one; with little left to prefill, the next prompts were sent
+// there too. The cause was that only the prefill backlog counted as waiting,
+// and not the wait for a slot. With 68 entries over ten seconds, first events
+// came 1.3 s later than estimated at engines with 1.5 times as many requests as
+// slots, 2.1 s later with twice as many, and 0.03 to 0.1 s later with free
+// slots.
+TEST_CASE("HalfOfThePromptsAreOnTimeDuringAnOverload")
 {
   for (const unsigned seed : { 1U, 2U, 3U }) {
     LoadSimulation simulation(kBusy, Policy::kCoordinators);
@@ -142,16 +147,13 @@
   }
 }
 
-// Symptom: during an overload every fourth prompt waited three times as long as
-// the others.
-// Sequence: entries that have much to do answer some questions about an
-// engine's load too late. What isn't heard in time is taken as nothing to do,
-// so that engine looks like the soonest and is chosen. Cause: no word was taken
-// for good news. Of 13,000 prompts in ten seconds on 68 entries 6,500 went on
-// without a word from all whom they asked, 2,950 of them to an engine that was
-// believed empty; their first events came after 1.66 s, those of prompts with
-// every word after 0.56 s.
-TEST_CASE("AnEngineOfWhichNothingIsHeardIsNotTakenForIdle")
+// During an overload every fourth prompt waited three times as long as the
+// others. Busy entries respond to some load queries too late, and a missing
+// response was treated as no load, so that engine looked like the soonest and
+// was chosen. Of 13,000 prompts in ten seconds on 68 entries, 6,500 continued
+// with responses missing, 2,950 of them to an engine that was taken for empty;
+// their first events took 1.66 s, those of prompts with all responses 0.56 s.
+TEST_CASE("AnEngineWithoutALoadResponseIsNotAssumedIdle")
 {
   Deployment lateResponses = kBusy;
   lateResponses.mLateResponseShare = 0.4;
@@ -169,18 +171,18 @@
     const Outcome partial =
       withLate.OutcomeBetween(kFullLoadFromMs, kBusy.mDurationMs);
     INFO("seed " << seed << ": within 1,000 ms " << complete.mOnTimeFraction
-                 << " with every word, " << partial.mOnTimeFraction
-                 << " with 60 of 100; p95 " << complete.mP95Ms << " and "
-                 << partial.mP95Ms << " ms; read "
+                 << " with all responses, " << partial.mOnTimeFraction
+                 << " with 60 of 100 responses; p95 " << complete.mP95Ms
+                 << " and " << partial.mP95Ms << " ms; prefilled "
                  << complete.mPrefilledFraction << " and "
                  << partial.mPrefilledFraction);
     CHECK(partial.mOnTimeFraction > complete.mOnTimeFraction - 0.03);
   }
 }
 
-// Five prompts of 100 ms each wait at an engine that begins 300 ms late. After
-// three of them it has two to read, whatever was late before.
-TEST_CASE("ALateEngineIsLateOnceHoweverManyPromptsWaitThere")
+// Five prompts of 100 ms each wait at an engine that starts 300 ms late. After
+// three of them two remain to be prefilled, whatever the delay.
+TEST_CASE("EngineDelayIsCountedOnceHoweverManyPromptsWait")
 {
   const UpstreamName name("u");
   constexpr int kPrefillMs = 100;
--- a/test/gateway/PendingLoadQueriesTest.cpp
+++ b/test/gateway/PendingLoadQueriesTest.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("AKeeperIsAskedOnceForAllUpstreamsThatItKeeps")
+TEST_CASE("OneQueryPerCoordinatorCoversAllItsUpstreams")
 {
   CoordinatorMap coordinators;
   coordinators.Set({ { .mAddress = { "10.0.0.1", 7 }, .mDomain = kDomain },
@@ -33,10 +33,10 @@
   CHECK(pending.PendingCount() == 0);
 }
 
-// Symptom: a request goes on twice, or memory grows with each lost answer.
-// Sequence: a coordinator is frozen; the request goes on without its word, and
-// the word comes seconds later.
-TEST_CASE("AnAnswerThatNobodyWaitsForAnyMoreIsNothing")
+// A request must not continue twice, and memory must not grow with each lost
+// response. The coordinator is frozen; the request continues without its
+// response, which arrives seconds later.
+TEST_CASE("AResponseToACancelledQueryIsIgnored")
 {
   CoordinatorMap coordinators;
   PendingLoadQueries pending;
--- a/test/gateway/PlacementUnderLoadTest.cpp
+++ b/test/gateway/PlacementUnderLoadTest.cpp
@@ -1,6 +1,6 @@
 // ctest-labels: unit
-// Plays long and short prompts to engines that read one after the other, and
-// looks at when callers get their first event.
+// Simulates long and short prompts on engines that prefill sequentially, and
+// measures when callers get their first event.
 
 #include "gateway/LoadSimulation.h"
 
@@ -20,7 +20,7 @@
   return simulation.OverallOutcome();
 }
 
-/** Hundreds of small engines before hundreds of entries. */
+/** Hundreds of entries with hundreds of small engines. */
 const Deployment kLarge{ .mEntries = 300,
                          .mEngines = 160,
                          .mPrefixCount = 3400,
@@ -34,44 +34,45 @@
 
 } // namespace
 
-// Thirty prompts a second of 6,600 tokens in the mean and 54,600 at most, on
-// twelve engines that read 50 tokens a millisecond.
-TEST_CASE("ByExpectedTimeMoreCallersGetTheirFirstEventInTime")
+// Thirty prompts per second, of 6,600 tokens on average and 54,600 at most, on
+// twelve engines that prefill 50 tokens per millisecond.
+TEST_CASE("ChoiceByExpectedTimeYieldsMoreOnTimeFirstEvents")
 {
   for (const unsigned seed : { 1U, 2U, 3U }) {
     const Deployment small;
     const auto load = MakeLoad(small, seed);
-    const Outcome byPlace = Simulate(small, Policy::kPrefixOrder, load);
+    const Outcome byAffinity = Simulate(small, Policy::kPrefixOrder, load);
     const Outcome byTime = Simulate(small, Policy::kCoordinators, load);
-    INFO("seed " << seed << ": within 600 ms by place "
-                 << byPlace.mOnTimeFraction << ", by time "
-                 << byTime.mOnTimeFraction << "; p95 " << byPlace.mP95Ms
+    INFO("seed " << seed << ": within 600 ms by affinity order "
+                 << byAffinity.mOnTimeFraction << ", by expected time "
+                 << byTime.mOnTimeFraction << "; p95 " << byAffinity.mP95Ms
                  << " and " << byTime.mP95Ms << " ms");
-    CHECK(byTime.mOnTimeFraction > byPlace.mOnTimeFraction + 0.04);
+    CHECK(byTime.mOnTimeFraction > byAffinity.mOnTimeFraction + 0.04);
     CHECK(byTime.mOnTimeFraction > 0.93);
-    CHECK(byTime.mP95Ms < 0.7 * byPlace.mP95Ms);
+    CHECK(byTime.mP95Ms < 0.7 * byAffinity.mP95Ms);
   }
 }
 
-// Symptom: with hundreds of entries every fifth prompt of the largest kind had
-// its first event late, while most engines had nothing to read.
-// Sequence: 390 prompts a second, each through another of 300 entries; no entry
-// sees what the others send to an engine, or what an engine still keeps.
-// Cause: an entry's own sends are a 300th of what an engine has to do.
-TEST_CASE("OneEntryOfHundredsPlacesAsIfItSawAllSends")
+// With hundreds of entries, every fifth prompt of the largest kind had a late
+// first event while most engines had nothing to prefill. 390 prompts per second
+// arrive through 300 entries. The cause was that an entry saw only its own
+// sends, a 300th of the load of an engine, and not what the engine had in its
+// prefix cache.
+TEST_CASE("EntriesWithCoordinatorsChooseAsIfTheySawAllSends")
 {
   for (const unsigned seed : { 1U, 2U }) {
     const auto load = MakeLoad(kLarge, seed);
-    const Outcome alone = Simulate(kLarge, Policy::kOwnSends, load);
-    const Outcome asked = Simulate(kLarge, Policy::kCoordinators, load);
+    const Outcome ownSends = Simulate(kLarge, Policy::kOwnSends, load);
+    const Outcome coordinated = Simulate(kLarge, Policy::kCoordinators, load);
     INFO("seed " << seed << ": within 1,000 ms by own sends "
-                 << alone.mOnTimeFraction << ", by coordinators "
-                 << asked.mOnTimeFraction << "; p95 " << alone.mP95Ms << " and "
-                 << asked.mP95Ms << " ms; read " << alone.mPrefilledFraction
-                 << " and " << asked.mPrefilledFraction << " of the tokens");
-    CHECK(asked.mOnTimeFraction > 0.99);
-    CHECK(asked.mOnTimeFraction > alone.mOnTimeFraction + 0.02);
-    CHECK(asked.mP95Ms < 0.7 * alone.mP95Ms);
+                 << ownSends.mOnTimeFraction << ", with coordinators "
+                 << coordinated.mOnTimeFraction << "; p95 " << ownSends.mP95Ms
+                 << " and " << coordinated.mP95Ms << " ms; prefilled "
+                 << ownSends.mPrefilledFraction << " and "
+                 << coordinated.mPrefilledFraction << " of the tokens");
+    CHECK(coordinated.mOnTimeFraction > 0.99);
+    CHECK(coordinated.mOnTimeFraction > ownSends.mOnTimeFraction + 0.02);
+    CHECK(coordinated.mP95Ms < 0.7 * ownSends.mP95Ms);
   }
 }
 
--- a/test/gateway/PrefillQueueTest.cpp
+++ b/test/gateway/PrefillQueueTest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("PromptsAreReadOneAfterTheOther")
+TEST_CASE("PromptsArePrefilledSequentially")
 {
   PrefillQueue queue;
   CHECK(queue.Wait(At(0)) == Duration(0));
@@ -29,21 +29,21 @@
   CHECK(queue.Add(milliseconds(10), At(300)) == At(310));
 }
 
-TEST_CASE("WhatHasBeenReadEarlierOrLaterMovesWhatIsBehindIt")
+TEST_CASE("AnEarlyOrLatePrefillShiftsThePromptsBehindIt")
 {
   PrefillQueue queue;
   const TimePoint first = queue.Add(milliseconds(100), At(0));
   queue.Add(milliseconds(50), At(0));
   queue.RecordPrefillDone(first, At(160));
   CHECK(queue.Wait(At(160)) == milliseconds(50));
-  // A belief that is far off does not keep an engine out for long.
+  // A wrong estimate must not exclude an engine for long.
   queue.Add(std::chrono::hours(1), At(200));
   CHECK(queue.Wait(At(200)) <= std::chrono::seconds(10));
   queue.RecordPrefillDone(first, At(60000));
   CHECK(queue.Wait(At(60000)) <= std::chrono::seconds(10));
 }
 
-TEST_CASE("TheSameLatenessCountsOnce")
+TEST_CASE("TheSameDelayIsCountedOnce")
 {
   PrefillQueue queue;
   const TimePoint first = queue.Add(milliseconds(100), At(0));
@@ -53,14 +53,14 @@
   CHECK(queue.Wait(At(500)) == milliseconds(200));
   queue.RecordPrefillDone(second, At(600));
   CHECK(queue.Wait(At(600)) == milliseconds(100));
-  // What comes later is behind them, and late with them.
+  // Prompts added later queue behind them and inherit the delay.
   const TimePoint last = queue.Add(milliseconds(100), At(650));
   CHECK(queue.Wait(At(650)) == milliseconds(150));
   queue.RecordPrefillDone(last, At(800));
   CHECK(queue.Wait(At(800)) == Duration(0));
 }
 
-TEST_CASE("WhatIsGivenUpIsNotWaitedFor")
+TEST_CASE("CancelledPromptsAreNotWaitedFor")
 {
   PrefillQueue queue;
   queue.Add(milliseconds(100), At(0));
@@ -71,7 +71,7 @@
   CHECK(queue.Wait(At(100)) == Duration(0));
 }
 
-TEST_CASE("TheRateFollowsWhatEnginesShow")
+TEST_CASE("PrefillRateFollowsTheSamples")
 {
   PrefillRate rate;
   for (int i = 0; i < 60; ++i) {
--- a/test/gateway/PrefillRateTest.cpp
+++ b/test/gateway/PrefillRateTest.cpp
@@ -1,15 +1,16 @@
 // ctest-labels: unit
-// Symptom: the more an engine had to do, the slower it was believed to read,
-// and it was believed so for as long as the load lasted; on calm days already
-// half as fast as it was. Sequence: half of the engines crash, prompts wait for
-// a place in the others' batches; first events come after seconds, of engines
-// that had no prompt to read. Reading is then believed to take five times as
-// long, so engines are taken to be behind that are not, and prompts go where
-// their prefix isn't kept. Cause: the speed was the mean of tokens over time to
-// the first event, waiting and the way there and back included. Evidence: on a
-// day on which half of the engines crashed and four domains were reclaimed the
-// believed speed fell from 36 to 6 tokens a ms and stayed there; 0.36 of the
-// day's worth was earned, and 0.68 with the speed held at 40.
+// The estimated prefill rate fell with the load and stayed low for as long as
+// the load lasted; even under moderate load it was half of the actual rate.
+// Half of the engines crash, prompts wait for a slot in the batches of the
+// others, and first events take seconds at engines without a prefill backlog. A
+// prefill is then estimated to take five times as long, so engines are taken to
+// be behind that are not, and prompts go to engines that do not cache their
+// prefix. The cause was that the rate was the mean of tokens over the time to
+// the first event, waiting and round trip included.
+//
+// With half of the engines crashed and four domains reclaimed, the estimate
+// fell from 36 to 6 tokens per ms and stayed there: 0.36 of the value of all
+// requests was earned, and 0.68 with the rate fixed at 40.
 #include "peridotspool/gateway/PrefillRate.h"
 
 #include <catch2/catch.hpp>
@@ -22,7 +23,7 @@
 namespace {
 
 constexpr double kTokensPerMs = 42.0;
-constexpr double kWayMs = 55.0;
+constexpr double kOverheadMs = 55.0;
 constexpr std::uint64_t kPrompt = 10000;
 constexpr double kPromptMs = kPrompt / kTokensPerMs;
 
@@ -32,7 +33,7 @@
   return std::chrono::duration<double, std::milli>(aDuration).count();
 }
 
-/** Prompts of 300 to 30,000 tokens, as callers send them. */
+/** Prompts of 300 to 30,000 tokens. */
 class Prompts
 {
 public:
@@ -41,8 +42,11 @@
   {
   }
 
-  /** aWaiting: the part of them that waits 0.2 to 3 s unseen. */
-  void Show(PrefillRate& aRate, int aCount, double aWaiting)
+  /**
+   * aWaiting is the fraction of prompts whose time includes 0.2 to 3 s of
+   * waiting that the estimator does not know of.
+   */
+  void AddSamples(PrefillRate& aRate, int aCount, double aWaiting)
   {
     std::uniform_real_distribution<double> size(std::log(300.0),
                                                 std::log(30000.0));
@@ -52,7 +56,7 @@
       const auto tokens = static_cast<std::uint64_t>(std::exp(size(mRandom)));
       const double waits = part(mRandom) < aWaiting ? wait(mRandom) : 0.0;
       const double took =
-        kWayMs + static_cast<double>(tokens) / kTokensPerMs + waits;
+        kOverheadMs + static_cast<double>(tokens) / kTokensPerMs + waits;
       aRate.AddSample(tokens,
                       std::chrono::duration_cast<Duration>(
                         std::chrono::duration<double, std::milli>(took)));
@@ -65,12 +69,12 @@
 
 } // namespace
 
-TEST_CASE("TheWayToTheFirstEventIsNotReading")
+TEST_CASE("OverheadIsNotCountedAsPrefill")
 {
   for (const unsigned seed : { 1U, 2U, 3U }) {
     Prompts prompts(seed);
     PrefillRate rate;
-    prompts.Show(rate, 300, 0.0);
+    prompts.AddSamples(rate, 300, 0.0);
     INFO("seed " << seed << ": expected " << kPromptMs << " ms, actual "
                  << Milliseconds(rate.PrefillTime(kPrompt)));
     CHECK(Milliseconds(rate.PrefillTime(kPrompt)) > 0.9 * kPromptMs);
@@ -78,15 +82,15 @@
   }
 }
 
-TEST_CASE("EnginesThatAreWaitedForAreNotBelievedToReadSlowly")
+TEST_CASE("WaitingDoesNotLowerTheEstimatedPrefillRate")
 {
   for (const unsigned seed : { 1U, 2U, 3U }) {
     Prompts prompts(seed);
     PrefillRate rate;
-    prompts.Show(rate, 300, 0.05);
-    prompts.Show(rate, 60, 0.75);
+    prompts.AddSamples(rate, 300, 0.05);
+    prompts.AddSamples(rate, 60, 0.75);
     const double busy = Milliseconds(rate.PrefillTime(kPrompt));
-    prompts.Show(rate, 60, 0.05);
+    prompts.AddSamples(rate, 60, 0.05);
     const double after = Milliseconds(rate.PrefillTime(kPrompt));
     INFO("seed " << seed << ": expected " << kPromptMs << " ms, actual " << busy
                  << " while three quarters wait, " << after << " after it");
@@ -96,8 +100,9 @@
   }
 }
 
-// The guess is as wrong in either direction.
-TEST_CASE("EnginesOfAnySpeedAreLearnedFromAFewPrompts")
+// The initial guess of 40 tokens per ms is off by a factor of ten in either
+// direction.
+TEST_CASE("AFewPromptsSufficeToEstimateAnyPrefillRate")
 {
   for (const double tokensPerMs : { 4.0, 400.0 }) {
     PrefillRate rate;
--- a/test/gateway/PrefixCacheModelTest.cpp
+++ b/test/gateway/PrefixCacheModelTest.cpp
@@ -16,41 +16,41 @@
 
 } // namespace
 
-TEST_CASE("WhatWasUsedIsKeptFromTheBeginOfThePrompt")
+TEST_CASE("CachedTokensCountFromTheStartOfThePrompt")
 {
-  PrefixCacheModel memory;
-  memory.RecordUse(Prompt(1, 1), 1000);
-  CHECK(memory.CachedTokens(Prompt(1, 1)) == 110);
-  CHECK(memory.CachedTokens(Prompt(1, 2)) == 100);
-  CHECK(memory.CachedTokens(Prompt(2, 1)) == 0);
-  // A part is of no use without those before it.
-  CHECK(memory.CachedTokens({ { .mId = 9, .mTokens = 5 }, Prompt(1, 1)[1] }) ==
+  PrefixCacheModel cache;
+  cache.RecordUse(Prompt(1, 1), 1000);
+  CHECK(cache.CachedTokens(Prompt(1, 1)) == 110);
+  CHECK(cache.CachedTokens(Prompt(1, 2)) == 100);
+  CHECK(cache.CachedTokens(Prompt(2, 1)) == 0);
+  // A part is reusable only together with those before it.
+  CHECK(cache.CachedTokens({ { .mId = 9, .mTokens = 5 }, Prompt(1, 1)[1] }) ==
         0);
 }
 
-TEST_CASE("ThePartsUsedLongestAgoYield")
+TEST_CASE("LeastRecentlyUsedPartsAreEvicted")
 {
-  PrefixCacheModel memory;
-  for (std::uint64_t subject = 1; subject <= 4; ++subject) {
-    memory.RecordUse(Prompt(subject, 1), 350);
+  PrefixCacheModel cache;
+  for (std::uint64_t prefix = 1; prefix <= 4; ++prefix) {
+    cache.RecordUse(Prompt(prefix, 1), 350);
   }
-  CHECK(memory.Tokens() <= 350);
-  CHECK(memory.CachedTokens(Prompt(1, 1)) == 0);
-  CHECK(memory.CachedTokens(Prompt(4, 1)) == 110);
-  memory.RecordUse(Prompt(2, 2), 350);
-  memory.RecordUse(Prompt(5, 1), 350);
-  CHECK(memory.CachedTokens(Prompt(2, 3)) == 100);
-  CHECK(memory.CachedTokens(Prompt(3, 1)) == 0);
+  CHECK(cache.Tokens() <= 350);
+  CHECK(cache.CachedTokens(Prompt(1, 1)) == 0);
+  CHECK(cache.CachedTokens(Prompt(4, 1)) == 110);
+  cache.RecordUse(Prompt(2, 2), 350);
+  cache.RecordUse(Prompt(5, 1), 350);
+  CHECK(cache.CachedTokens(Prompt(2, 3)) == 100);
+  CHECK(cache.CachedTokens(Prompt(3, 1)) == 0);
 }
 
-TEST_CASE("PartsWithoutTokensTakeNoMemoryWithoutEnd")
+TEST_CASE("PartsWithoutTokensUseBoundedMemory")
 {
-  PrefixCacheModel memory;
+  PrefixCacheModel cache;
   for (std::uint64_t id = 1; id <= 10000; ++id) {
-    memory.RecordUse({ { .mId = id, .mTokens = 0 } }, 1000);
+    cache.RecordUse({ { .mId = id, .mTokens = 0 } }, 1000);
   }
-  CHECK(memory.CachedTokens({ { .mId = 1, .mTokens = 7 } }) == 0);
-  CHECK(memory.CachedTokens({ { .mId = 10000, .mTokens = 7 } }) == 7);
+  CHECK(cache.CachedTokens({ { .mId = 1, .mTokens = 7 } }) == 0);
+  CHECK(cache.CachedTokens({ { .mId = 10000, .mTokens = 7 } }) == 7);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/PromptPartsTest.cpp
+++ b/test/gateway/PromptPartsTest.cpp
@@ -7,7 +7,7 @@
 
 namespace peridotspool::gateway {
 
-TEST_CASE("PrefixAffinityLeavesTheRequestsOwnPartOut")
+TEST_CASE("PrefixAffinityExcludesTheRequestsOwnPart")
 {
   const auto affinity = [](const char* aText) {
     return ParsePromptParts(aText).mAffinity;
@@ -28,7 +28,7 @@
   CHECK(ParsePromptParts("a:99999999999999").Tokens() == 10000000);
 }
 
-TEST_CASE("EachPartIsNamedTogetherWithThoseBeforeIt")
+TEST_CASE("PartIdsCoverAllPrecedingParts")
 {
   const auto one = ParsePromptParts("a:10,b:20,c:30").mParts;
   const auto same = ParsePromptParts("a:10,b:20,d:5").mParts;
@@ -38,7 +38,7 @@
   CHECK(one[1] == same[1]);
   CHECK(one[2].mId != same[2].mId);
   CHECK(one[1].mId != other[1].mId);
-  // A header of thousands of parts makes no message of thousands.
+  // A header with thousands of parts must not produce messages of that size.
   std::string many;
   for (int i = 0; i < 1000; ++i) {
     many += "p" + std::to_string(i) + ":1,";
--- a/test/gateway/UpstreamSelectorTest.cpp
+++ b/test/gateway/UpstreamSelectorTest.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("APrefixGoesToOneUpstreamTheSameOnAllEntries")
+TEST_CASE("AllEntriesChooseTheSameUpstreamForAPrefix")
 {
   const UpstreamSelector one = MakeSelector(8);
   const UpstreamSelector other = MakeSelector(8);
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("AFullUpstreamsPrefixGoesToTheNextInItsOrder")
+TEST_CASE("ThePrefixOfAFullUpstreamGoesToTheNextInItsOrder")
 {
   UpstreamSelector selector = MakeSelector(4);
   const SelectionQuery query{ .mService = kService,
@@ -86,12 +86,11 @@
   CHECK(selector.Choose(query, At(1))->mName == first.mName);
 }
 
-// Symptom: short prompts waited 1.3 s for their first event while most engines
-// had nothing to read.
-// Sequence: a prompt of 54,600 tokens is sent to an engine; others whose prefix
-// belongs there follow it, from this entry and from others.
-// Cause: the choice went by a prefix's place and by the count of requests.
-TEST_CASE("APromptGoesRoundALongOneThatIsBeingRead")
+// Short prompts waited 1.3 s for their first event while most engines had
+// nothing to prefill. A prompt of 54,600 tokens is sent to an engine, and
+// others whose prefix belongs there follow, from this entry and from others.
+// The cause was a choice by affinity order and request count alone.
+TEST_CASE("APromptAvoidsAnEngineThatPrefillsALongOne")
 {
   UpstreamSelector selector = MakeSelector(4);
   const SelectionQuery small{
@@ -109,16 +108,16 @@
   selector.RecordEnd(sent, SendResult::kAnswered, At(1200));
   CHECK(selector.Choose(small, At(1200))->mName == home.mName);
 
-  // The same when another entry sent it.
+  // The same applies if another entry sent it.
   selector.ApplyCoordinatorLoad({ .mUpstream = home.mName, .mWaitUs = 1092000 },
                                 At(2000));
-  const auto round = selector.Choose(small, At(2010));
-  CHECK(round->mName != home.mName);
-  CHECK(round->mPrefixSource == home.mAddress);
+  const auto other = selector.Choose(small, At(2010));
+  CHECK(other->mName != home.mName);
+  CHECK(other->mPrefixSource == home.mAddress);
   CHECK(selector.Choose(small, At(4000))->mName == home.mName);
 }
 
-TEST_CASE("APrefixStaysWhereItIsKeptWhileCopyingItCostsMoreThanWaiting")
+TEST_CASE("APrefixStaysWhereItIsCachedWhileCopyingCostsMoreThanWaiting")
 {
   UpstreamSelector selector = MakeSelector(4);
   const SelectionQuery query{
@@ -137,7 +136,7 @@
   CHECK(other->mPrefillTokens == 3600);
 }
 
-TEST_CASE("KeepersAreAskedOfTheFirstFewInAPromptsOrder")
+TEST_CASE("CoordinatorsOfTheFirstFewInAPromptsOrderAreQueried")
 {
   UpstreamSelector selector = MakeSelector(20);
   SelectionQuery query{ .mService = kService,
@@ -147,7 +146,8 @@
   CHECK(shortlist.front().mName == selector.Choose(query, At(0))->mName);
   query.mShortlist = { shortlist[2].mName };
   CHECK(selector.Choose(query, At(0))->mName == shortlist[2].mName);
-  // None of them is left: the others are as good as they were before.
+  // With no upstream of the shortlist left, the choice returns to the original
+  // order.
   query.mTried = { shortlist[2].mName };
   CHECK(selector.Choose(query, At(0))->mName == shortlist[0].mName);
   // Plain calls have no order in common.
@@ -156,7 +156,7 @@
   CHECK(MakeSelector(1).Shortlist(query, At(0)).empty());
 }
 
-TEST_CASE("APromptGoesWhereItsPrefixIsKeptAndCopiesItFromThereOtherwise")
+TEST_CASE("APromptGoesWhereItsPrefixIsCachedOrCopiesItFromThere")
 {
   UpstreamSelector selector = MakeSelector(4);
   SelectionQuery query{
@@ -168,7 +168,8 @@
     query.mShortlist.push_back(upstream.mName);
     query.mCachedTokens[upstream.mName] = 0;
   }
-  // Nobody keeps it: it is read where it belongs, and copied from nowhere.
+  // No upstream caches it: it is prefilled at the first in the order, and
+  // copied from nowhere.
   auto choice = *selector.Choose(query, At(0));
   CHECK(choice.mName == order[0].mName);
   CHECK(choice.mPrefillTokens == 20100);
@@ -177,7 +178,7 @@
   CHECK(choice.mName == order[2].mName);
   CHECK(choice.mPrefillTokens == 100);
   CHECK_FALSE(choice.mPrefixSource);
-  // Where it is kept there is more to read first than copying it takes.
+  // The backlog where it is cached takes longer than copying the prefix.
   selector.ApplyCoordinatorLoad(
     { .mUpstream = order[2].mName, .mWaitUs = 400000 }, At(0));
   choice = *selector.Choose(query, At(0));
@@ -186,9 +187,9 @@
   CHECK(choice.mPrefixSource);
 }
 
-// Four places, each held for a second: with six requests there a seventh waits
-// for three ends, which take three quarters of it.
-TEST_CASE("AFullBatchIsWaitedForWherePlacesAreTold")
+// Each request holds one of four slots for a second. With six requests there, a
+// seventh waits for three to end, which takes three quarters of a second.
+TEST_CASE("TheWaitForAFullBatchIsIncludedIfSlotsAreReported")
 {
   for (const std::uint32_t slots : { 4U, 0U }) {
     UpstreamSelector selector({ .mDomain = FailureDomain("a") });
@@ -206,13 +207,13 @@
       { .mUpstream = UpstreamName("u"), .mRunning = 6 }, At(1100));
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
       selector.Choose(query, At(1100))->mWait);
-    INFO(slots << " places told, waits " << wait.count() << " ms");
+    INFO(slots << " slots reported, waits " << wait.count() << " ms");
     CHECK(wait.count() >= (slots == 0 ? 0 : 740));
     CHECK(wait.count() <= (slots == 0 ? 0 : 760));
   }
 }
 
-TEST_CASE("PromptsThatShareNothingAreSpread")
+TEST_CASE("PromptsWithoutASharedPrefixAreSpread")
 {
   const UpstreamSelector selector = MakeSelector(8);
   std::map<UpstreamName, int> used;
@@ -229,10 +230,9 @@
   }
 }
 
-// Symptom: an upstream that had restarted under its name was taken for full, or
-// stayed ejected.
-// Cause: what was believed of its earlier process was kept under the name.
-TEST_CASE("WhatWasBelievedOfAnEarlierIncarnationEndsWithIt")
+// A restarted upstream was taken for full or stayed ejected, because the state
+// of its earlier process was kept under its name.
+TEST_CASE("TheStateOfAnEarlierIncarnationIsDiscarded")
 {
   UpstreamSelector selector = MakeSelector(1);
   const UpstreamName name("u0");
@@ -251,7 +251,7 @@
   CHECK(selector.InFlight(name) == 0);
   const SentRequest after =
     selector.RecordSent(*selector.Choose(query, At(4)), At(4));
-  // The end of a send to the earlier one says nothing of this one.
+  // The end of a send to the earlier incarnation does not affect this one.
   CHECK_FALSE(selector.RecordEnd(before, SendResult::kBroken, At(5)));
   CHECK(selector.InFlight(name) == 1);
   CHECK(selector.ReadyCount(kService, At(5)) == 1);
@@ -259,10 +259,9 @@
   CHECK(selector.InFlight(name) == 0);
 }
 
-// Symptom: an upstream that had said it was leaving was still sent work.
-// Sequence: it announced that it drains; an entry chose it for its prefix.
-// Cause: the choice looked at load and prefix only.
-TEST_CASE("ALeavingGoneOrReplacedUpstreamGetsNothingNew")
+// An upstream that had announced its draining was still chosen for its cached
+// prefix, because the choice considered only load and prefix.
+TEST_CASE("ADrainingGoneOrReplacedUpstreamGetsNoNewWork")
 {
   UpstreamSelector selector = MakeSelector(2);
   const SelectionQuery query{ .mService = kService };
@@ -270,14 +269,14 @@
   selector.Update(UpstreamName("u0"), &leaving, At(1));
   CHECK(selector.Choose(query, At(1))->mName == UpstreamName("u1"));
   CHECK_FALSE(selector.IsReady(UpstreamName("u0")));
-  // The address answers for another upstream now.
+  // Another upstream responds at the address now.
   CHECK(selector.RecordEnd(SentRequest{ .mName = UpstreamName("u1") },
                            SendResult::kWrongUpstream,
                            At(2)));
   CHECK_FALSE(selector.Choose(query, At(2)));
 }
 
-TEST_CASE("AnUpstreamThatBreaksIsLeftOutForAWhileLongerEachTime")
+TEST_CASE("AnUpstreamThatBreaksIsEjectedLongerEachTime")
 {
   UpstreamSelector selector = MakeSelector(2);
   const UpstreamName bad("u0");
@@ -296,7 +295,7 @@
   CHECK(selector.ReadyCount(kService, At(3200)) == 2);
 }
 
-TEST_CASE("WhenAllUpstreamsAreEjectedOneOfThemIsTriedAllTheSame")
+TEST_CASE("AnEjectedUpstreamIsTriedIfAllAreEjected")
 {
   UpstreamSelector selector = MakeSelector(1);
   selector.RecordEnd(
@@ -306,7 +305,7 @@
     { .mService = kService, .mTried = { UpstreamName("u0") } }, At(1)));
 }
 
-TEST_CASE("AmongEqualsTheOwnFailureDomainIsChosen")
+TEST_CASE("TheOwnFailureDomainIsPreferredAmongEquals")
 {
   UpstreamSelector selector({ .mDomain = FailureDomain("b") });
   for (const char* domain : { "a", "b", "c" }) {
