--- a/include/peridotspool/gateway/HeaderRules.h
+++ b/include/peridotspool/gateway/HeaderRules.h
@@ -17,7 +17,7 @@
 IsHopByHop(std::string_view aName, std::string_view aConnection);
 
 /** What the gateway says of a request to an upstream. */
-struct ForwardTerms
+struct UpstreamRequestFields
 {
   /** Empty where the route needs no key. */
   std::string mCustomer;
@@ -36,21 +36,21 @@
  * for what the gateway sets.
  */
 std::string
-WriteForward(const CallerRequest& aRequest,
-             const HeaderNames& aNames,
-             const ForwardTerms& aTerms);
+WriteUpstreamRequest(const CallerRequest& aRequest,
+                     const HeaderNames& aNames,
+                     const UpstreamRequestFields& aTerms);
 
 /**
  * Writes the head of an answer as the upstream gave it; the length, if given,
  * or chunks frame its body.
  */
 std::string
-WriteAnswerHead(const UpstreamHead& aHead,
-                std::optional<std::uint64_t> aLength,
-                bool aKeepAlive);
+WriteResponseHead(const ResponseHead& aHead,
+                  std::optional<std::uint64_t> aLength,
+                  bool aKeepAlive);
 
 /** A whole answer of the gateway's own. */
-struct OwnAnswer
+struct LocalResponse
 {
   unsigned mStatus = 503;
   std::string mReason;
@@ -59,14 +59,14 @@
 };
 
 std::string
-WriteOwnAnswer(const OwnAnswer& aAnswer,
-               std::string_view aRequestIdName,
-               std::string_view aRequestId,
-               bool aKeepAlive);
+WriteLocalResponse(const LocalResponse& aAnswer,
+                   std::string_view aRequestIdName,
+                   std::string_view aRequestId,
+                   bool aKeepAlive);
 
 /** Returns the key of "Bearer KEY", or empty. */
 std::string_view
-BearerOf(std::string_view aAuthorization);
+BearerToken(std::string_view aAuthorization);
 
 /** Reads a whole number without sign; empty for anything else. */
 std::optional<std::uint64_t>
--- a/include/peridotspool/gateway/RequestHead.h
+++ b/include/peridotspool/gateway/RequestHead.h
@@ -16,7 +16,7 @@
 
 /** Returns true iff two field names are the same. */
 bool
-SameName(std::string_view aLeft, std::string_view aRight);
+EqualsIgnoreCase(std::string_view aLeft, std::string_view aRight);
 
 /** A caller's request, read whole and not changed. */
 struct CallerRequest
@@ -35,7 +35,7 @@
 };
 
 /** The head of an upstream's answer. */
-struct UpstreamHead
+struct ResponseHead
 {
   unsigned mStatus = 0;
   std::string mReason;
--- a/include/peridotspool/gateway/RouteTable.h
+++ b/include/peridotspool/gateway/RouteTable.h
@@ -68,6 +68,6 @@
 
 /** Returns a host name in lower case, without a port. */
 std::string
-NormalHost(std::string_view aHost);
+NormalizeHost(std::string_view aHost);
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/StopPlan.h
+++ b/include/peridotspool/gateway/ShutdownPolicy.h
@@ -6,26 +6,26 @@
 
 namespace peridotspool::gateway {
 
-struct StopPlanOptions
+struct ShutdownPolicyOptions
 {
   /** From the order to stop to the end. */
   Duration mGrace = std::chrono::seconds(8);
   /** Requests are taken for this long as if nothing had been said. */
-  Duration mTakeOn = std::chrono::milliseconds(2500);
+  Duration mAcceptFor = std::chrono::milliseconds(2500);
   /** Callers that lately asked for entries may still come until then. */
-  Duration mLeast = std::chrono::milliseconds(1500);
+  Duration mMinDuration = std::chrono::milliseconds(1500);
   /** Bytes that were written last are on their way for this long. */
   Duration mQuietFor = std::chrono::milliseconds(150);
   /** Kept of the grace for ending the process. */
   Duration mReserve = std::chrono::milliseconds(40);
 };
 
-enum class StopStage
+enum class ShutdownStage
 {
-  kTakesRequests,
+  kAccepting,
   /** Tells callers to go elsewhere, while there is still time for it. */
-  kRefuses,
-  kOver,
+  kRefusing,
+  kComplete,
 };
 
 /**
@@ -34,20 +34,20 @@
  *
  * A pure step. Not thread-safe.
  */
-class StopPlan
+class ShutdownPolicy
 {
 public:
-  StopPlan(StopPlanOptions aOptions, TimePoint aNow);
+  ShutdownPolicy(ShutdownPolicyOptions aOptions, TimePoint aNow);
 
   /** aQuiet: nothing is served, and callers were sent all that is owed. */
-  StopStage Step(bool aQuiet, TimePoint aNow);
+  ShutdownStage Step(bool aQuiet, TimePoint aNow);
   /** Returns true iff a request that may take this long ends in time. */
-  bool MayTake(Duration aLongest, TimePoint aNow) const;
+  bool MayAccept(Duration aLongest, TimePoint aNow) const;
 
 private:
-  StopPlanOptions mOptions;
-  TimePoint mToldAt;
-  TimePoint mBusyAt;
+  ShutdownPolicyOptions mOptions;
+  TimePoint mStopRequestedAt;
+  TimePoint mLastBusyAt;
 };
 
 } // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/StartPlan.h
+++ b/include/peridotspool/gateway/StartupPolicy.h
@@ -7,15 +7,15 @@
 
 namespace peridotspool::gateway {
 
-struct StartPlanOptions
+struct StartupPolicyOptions
 {
   /** Requests that come this soon after the start may wait; none if zero. */
-  Duration mWithin{ 0 };
+  Duration mStartupPeriod{ 0 };
   /** One request waits this long at most. */
-  Duration mWaitMost = std::chrono::milliseconds(500);
+  Duration mMaxWait = std::chrono::milliseconds(500);
   /** Of the news of upstreams, the last is waited for this long after the
    * first. */
-  Duration mNewsFor = std::chrono::milliseconds(150);
+  Duration mUpdateCollectionTime = std::chrono::milliseconds(150);
 };
 
 /**
@@ -24,25 +24,26 @@
  *
  * A pure step. Not thread-safe.
  */
-class StartPlan
+class StartupPolicy
 {
 public:
   /** Lets nothing wait. */
-  StartPlan() = default;
-  StartPlan(StartPlanOptions aOptions, TimePoint aStartedAt);
+  StartupPolicy() = default;
+  StartupPolicy(StartupPolicyOptions aOptions, TimePoint aStartedAt);
 
   /** aHeard of the aOf replicas that take announcements have told theirs. */
-  void TakeNews(std::size_t aHeard, std::size_t aOf, TimePoint aNow);
+  void RecordUpdates(std::size_t aHeard, std::size_t aOf, TimePoint aNow);
   /** Returns true iff what is known of upstreams is enough to choose by. */
-  bool KnowsEnough(TimePoint aNow) const;
+  bool HasEnoughUpdates(TimePoint aNow) const;
   /** Returns the wait that is left; empty iff it is to be refused at once. */
-  std::optional<Duration> MayWait(TimePoint aArrivedAt, TimePoint aNow) const;
+  std::optional<Duration> RemainingWait(TimePoint aArrivedAt,
+                                        TimePoint aNow) const;
 
 private:
-  StartPlanOptions mOptions;
+  StartupPolicyOptions mOptions;
   TimePoint mStartedAt;
-  std::optional<TimePoint> mFirstNewsAt;
-  bool mHeardAll = false;
+  std::optional<TimePoint> mFirstUpdateAt;
+  bool mAllReported = false;
 };
 
 } // namespace peridotspool::gateway
--- a/src/gateway/CallerLink.cpp
+++ b/src/gateway/CallerConnection.cpp
@@ -1,4 +1,4 @@
-#include "gateway/CallerLink.h"
+#include "gateway/CallerConnection.h"
 
 #include "gateway/SocketOptions.h"
 #include "peridotspool/gateway/HeaderRules.h"
@@ -16,38 +16,40 @@
 
 constexpr std::size_t kReadBytes = 16U << 10;
 /** Bytes of requests to come that are taken while one is being served. */
-constexpr std::size_t kMostAhead = 64U << 10;
+constexpr std::size_t kMaxReadAheadBytes = 64U << 10;
 /** A body that is not whole this long after its head is given up. */
 constexpr Duration kBodyTimeout = std::chrono::seconds(20);
 /** Callers use a connection up to its idle timeout; it ends a little later. */
-constexpr Duration kIdleExtra = std::chrono::seconds(1);
+constexpr Duration kIdleTimeoutSlack = std::chrono::seconds(1);
 
 } // namespace
 
-CallerLink::CallerLink(http::Tcp::socket aSocket, CallerLinkOwner& aOwner)
+CallerConnection::CallerConnection(http::Tcp::socket aSocket,
+                                   CallerConnectionOwner& aOwner)
   : mSocket(std::move(aSocket))
   , mOwner(aOwner)
-  , mSince(aOwner.Now())
+  , mRequestOrIdleSince(aOwner.Now())
 {
   SetSocketOptions(mSocket);
 }
 
 void
-CallerLink::Run()
+CallerConnection::Run()
 {
   Read();
 }
 
 bool
-CallerLink::IsIdle() const
+CallerConnection::IsIdle() const
 {
   return !mServing && mBuffer.size() == 0 && (!mParser || !mParser->got_some());
 }
 
 void
-CallerLink::Read()
+CallerConnection::Read()
 {
-  if (mReading || mClosed || (mServing && mBuffer.size() > kMostAhead)) {
+  if (mReading || mClosed ||
+      (mServing && mBuffer.size() > kMaxReadAheadBytes)) {
     return;
   }
   mReading = true;
@@ -59,7 +61,7 @@
 }
 
 void
-CallerLink::OnRead(http::ErrorCode aError, std::size_t aBytes)
+CallerConnection::OnRead(http::ErrorCode aError, std::size_t aBytes)
 {
   mReading = false;
   if (mClosed) {
@@ -67,7 +69,7 @@
   }
   if (aError) {
     if (mServing) {
-      mOwner.OnGone(*this);
+      mOwner.OnDisconnected(*this);
     }
     Close();
     return;
@@ -80,7 +82,7 @@
 }
 
 void
-CallerLink::Parse()
+CallerConnection::Parse()
 {
   if (!mParser) {
     const CallerLimits limits = mOwner.Limits();
@@ -88,8 +90,8 @@
     mParser->eager(true);
     mParser->header_limit(static_cast<std::uint32_t>(limits.mHeaderBytes));
     mParser->body_limit(limits.mBodyBytes);
-    mContinued = false;
-    mSince = mOwner.Now();
+    mHeadChecked = false;
+    mRequestOrIdleSince = mOwner.Now();
   }
   while (mBuffer.size() > 0) {
     http::ErrorCode error;
@@ -99,14 +101,15 @@
       RefuseFor(error);
       return;
     }
-    if (mParser->is_header_done() && !mContinued) {
-      mContinued = true;
+    if (mParser->is_header_done() && !mHeadChecked) {
+      mHeadChecked = true;
       if (const std::string fault = FramingFault(); !fault.empty()) {
         Refuse(400, fault);
         return;
       }
       if (!mParser->is_done() &&
-          SameName(mParser->get()[beast_http::field::expect], "100-continue")) {
+          EqualsIgnoreCase(mParser->get()[beast_http::field::expect],
+                           "100-continue")) {
         Write("HTTP/1.1 100 Continue\r\n\r\n");
       }
     }
@@ -124,7 +127,7 @@
 // inside its body. The parser settles most of it; what is legal but rare is
 // refused as well, because a runner may read it in its own way.
 std::string
-CallerLink::FramingFault() const
+CallerConnection::FramingFault() const
 {
   const auto& head = mParser->get();
   const auto count = [&](beast_http::field aField) {
@@ -139,7 +142,8 @@
   }
   if (encodings > 1 ||
       (encodings == 1 &&
-       !SameName(head[beast_http::field::transfer_encoding], "chunked"))) {
+       !EqualsIgnoreCase(head[beast_http::field::transfer_encoding],
+                         "chunked"))) {
     return "an unknown transfer encoding";
   }
   if (head.version() != 11 && encodings > 0) {
@@ -152,7 +156,7 @@
 }
 
 void
-CallerLink::OnParsed()
+CallerConnection::OnParsed()
 {
   auto message = mParser->release();
   mParser.reset();
@@ -170,7 +174,7 @@
 }
 
 void
-CallerLink::RefuseFor(http::ErrorCode aError)
+CallerConnection::RefuseFor(http::ErrorCode aError)
 {
   if (aError == beast_http::error::body_limit) {
     Refuse(413, "the body is over its bound");
@@ -182,31 +186,31 @@
 }
 
 void
-CallerLink::Refuse(unsigned aStatus, const std::string& aReason)
+CallerConnection::Refuse(unsigned aStatus, const std::string& aReason)
 {
   mOwner.OnMalformed(aStatus, aReason);
   mParser.reset();
   mServing = true;
-  Answer(
-    WriteOwnAnswer({ .mStatus = aStatus, .mReason = aReason }, "", "", false),
-    false);
+  SendResponse(WriteLocalResponse(
+                 { .mStatus = aStatus, .mReason = aReason }, "", "", false),
+               false);
 }
 
 void
-CallerLink::Answer(std::string_view aBytes, bool aKeepAlive)
+CallerConnection::SendResponse(std::string_view aBytes, bool aKeepAlive)
 {
   Write(aBytes);
-  EndAnswer(aKeepAlive);
+  FinishResponse(aKeepAlive);
 }
 
 void
-CallerLink::Begin(std::string_view aHead)
+CallerConnection::BeginChunked(std::string_view aHead)
 {
   Write(aHead);
 }
 
 void
-CallerLink::Piece(std::string_view aBytes)
+CallerConnection::SendChunk(std::string_view aBytes)
 {
   if (!aBytes.empty()) {
     mPending += fmt::format("{:x}\r\n", aBytes.size());
@@ -216,17 +220,17 @@
 }
 
 void
-CallerLink::Finish(bool aKeepAlive)
+CallerConnection::FinishChunked(bool aKeepAlive)
 {
   Write("0\r\n\r\n");
-  EndAnswer(aKeepAlive);
+  FinishResponse(aKeepAlive);
 }
 
 void
-CallerLink::EndAnswer(bool aKeepAlive)
+CallerConnection::FinishResponse(bool aKeepAlive)
 {
   mServing = false;
-  mSince = mOwner.Now();
+  mRequestOrIdleSince = mOwner.Now();
   if (!aKeepAlive) {
     mClosing = true;
     if (mWriting.empty()) {
@@ -247,21 +251,21 @@
 }
 
 void
-CallerLink::Abort()
+CallerConnection::Abort()
 {
   mServing = false;
   Close();
 }
 
 void
-CallerLink::Write(std::string_view aBytes)
+CallerConnection::Write(std::string_view aBytes)
 {
   mPending.append(aBytes);
   Flush();
 }
 
 void
-CallerLink::Flush()
+CallerConnection::Flush()
 {
   if (!mWriting.empty() || mPending.empty() || mClosed) {
     return;
@@ -276,7 +280,7 @@
 }
 
 void
-CallerLink::OnWritten(http::ErrorCode aError)
+CallerConnection::OnWritten(http::ErrorCode aError)
 {
   mWriting.clear();
   if (mClosed) {
@@ -284,7 +288,7 @@
   }
   if (aError) {
     if (mServing) {
-      mOwner.OnGone(*this);
+      mOwner.OnDisconnected(*this);
     }
     Close();
     return;
@@ -296,15 +300,15 @@
 }
 
 void
-CallerLink::Sweep(TimePoint aNow)
+CallerConnection::Sweep(TimePoint aNow)
 {
   if (mServing || mClosed) {
     return;
   }
   const CallerLimits limits = mOwner.Limits();
-  const Duration quiet = aNow - mSince;
+  const Duration quiet = aNow - mRequestOrIdleSince;
   if (IsIdle()) {
-    if (quiet > limits.mIdleTimeout + kIdleExtra) {
+    if (quiet > limits.mIdleTimeout + kIdleTimeoutSlack) {
       Close();
     }
     return;
@@ -316,7 +320,7 @@
 }
 
 void
-CallerLink::Close()
+CallerConnection::Close()
 {
   if (mClosed) {
     return;
--- a/src/gateway/CallerLink.h
+++ b/src/gateway/CallerConnection.h
@@ -11,18 +11,18 @@
 
 namespace peridotspool::gateway {
 
-class CallerLink;
+class CallerConnection;
 
 /** What a caller's connection tells its owner, on the relay thread. */
-class CallerLinkOwner
+class CallerConnectionOwner
 {
 public:
-  virtual ~CallerLinkOwner() = default;
-  virtual void OnRequest(const std::shared_ptr<CallerLink>& aLink,
+  virtual ~CallerConnectionOwner() = default;
+  virtual void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                          CallerRequest aRequest) = 0;
   /** The caller left while its request was being served. */
-  virtual void OnGone(CallerLink& aLink) = 0;
-  virtual void OnClosed(CallerLink& aLink) = 0;
+  virtual void OnDisconnected(CallerConnection& aConnection) = 0;
+  virtual void OnClosed(CallerConnection& aConnection) = 0;
   /** A request that was refused before it was whole; for the log. */
   virtual void OnMalformed(unsigned aStatus, const std::string& aReason) = 0;
   virtual CallerLimits Limits() const = 0;
@@ -34,19 +34,19 @@
  * writes their answers. Strict about framing: what could be read in two ways
  * is refused, and the connection ends.
  */
-class CallerLink : public std::enable_shared_from_this<CallerLink>
+class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
-  CallerLink(http::Tcp::socket aSocket, CallerLinkOwner& aOwner);
+  CallerConnection(http::Tcp::socket aSocket, CallerConnectionOwner& aOwner);
 
   void Run();
   /** Sends a whole answer. */
-  void Answer(std::string_view aBytes, bool aKeepAlive);
+  void SendResponse(std::string_view aBytes, bool aKeepAlive);
   /** Sends the head of a chunked answer. */
-  void Begin(std::string_view aHead);
-  void Piece(std::string_view aBytes);
+  void BeginChunked(std::string_view aHead);
+  void SendChunk(std::string_view aBytes);
   /** Ends a chunked answer. */
-  void Finish(bool aKeepAlive);
+  void FinishChunked(bool aKeepAlive);
   /** Ends the connection; an answer under way shows that it is not whole. */
   void Abort();
 
@@ -70,20 +70,20 @@
   void Write(std::string_view aBytes);
   void Flush();
   void OnWritten(http::ErrorCode aError);
-  void EndAnswer(bool aKeepAlive);
+  void FinishResponse(bool aKeepAlive);
   void Close();
 
   http::Tcp::socket mSocket;
-  CallerLinkOwner& mOwner;
+  CallerConnectionOwner& mOwner;
   http::beast::flat_buffer mBuffer;
   std::optional<Parser> mParser;
   bool mReading = false;
   bool mServing = false;
-  bool mContinued = false;
+  bool mHeadChecked = false;
   bool mClosed = false;
   bool mClosing = false;
   /** The first byte of the present request; idle since, without one. */
-  TimePoint mSince;
+  TimePoint mRequestOrIdleSince;
   std::string mPending;
   std::string mWriting;
 };
--- a/src/gateway/EventSplitter.cpp
+++ b/src/gateway/EventSplitter.cpp
@@ -18,18 +18,18 @@
 } // namespace
 
 std::string
-EventSplitter::Take(std::string_view aBytes)
+EventSplitter::Append(std::string_view aBytes)
 {
-  mRest.append(aBytes);
-  const std::size_t end = EndOfEvents(mRest);
-  std::string whole = mRest.substr(0, end);
-  mRest.erase(0, end);
-  NoteIds(whole);
+  mIncomplete.append(aBytes);
+  const std::size_t end = EndOfEvents(mIncomplete);
+  std::string whole = mIncomplete.substr(0, end);
+  mIncomplete.erase(0, end);
+  RecordIds(whole);
   return whole;
 }
 
 void
-EventSplitter::NoteIds(std::string_view aEvents)
+EventSplitter::RecordIds(std::string_view aEvents)
 {
   while (!aEvents.empty()) {
     const std::size_t end = aEvents.find('\n');
--- a/src/gateway/EventSplitter.h
+++ b/src/gateway/EventSplitter.h
@@ -14,17 +14,17 @@
 {
 public:
   /** Takes bytes and returns the whole events that they complete. */
-  std::string Take(std::string_view aBytes);
+  std::string Append(std::string_view aBytes);
   /** Bytes of an event that isn't whole. */
-  const std::string& Rest() const { return mRest; }
-  void DropRest() { mRest.clear(); }
+  const std::string& Incomplete() const { return mIncomplete; }
+  void DropIncomplete() { mIncomplete.clear(); }
   /** The id of the last whole event; empty before the first with one. */
   const std::string& LastId() const { return mLastId; }
 
 private:
-  void NoteIds(std::string_view aEvents);
+  void RecordIds(std::string_view aEvents);
 
-  std::string mRest;
+  std::string mIncomplete;
   std::string mLastId;
 };
 
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -14,10 +14,10 @@
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
 /** Too little time for another upstream to do anything with. */
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(30);
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
 /** Prompts below this many tokens delay nobody at an engine. */
-constexpr std::uint64_t kSmallPrompt = 3000;
-constexpr double kComeBackSoon = 0.3;
+constexpr std::uint64_t kSmallPromptTokens = 3000;
+constexpr double kShortRetryAfterSeconds = 0.3;
 
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
@@ -25,7 +25,7 @@
 } // namespace
 
 Exchange::Exchange(GatewayCore& aCore,
-                   std::shared_ptr<CallerLink> aCaller,
+                   std::shared_ptr<CallerConnection> aCaller,
                    CallerRequest aRequest)
   : mCore(aCore)
   , mCaller(std::move(aCaller))
@@ -34,8 +34,8 @@
   , mId(FieldOf(mRequest.mFields, aCore.mNames.mRequestId))
   , mArrivedAt(aCore.mNow())
   , mTimer(aCore.mIo)
-  , mSlowTimer(aCore.mIo)
-  , mAskTimer(aCore.mIo)
+  , mWaitTimer(aCore.mIo)
+  , mLoadQueryTimer(aCore.mIo)
 {
 }
 
@@ -54,20 +54,20 @@
                        .mMaxAttempts = mRoute->mMaxAttempts,
                        .mRefusals = mRefusals,
                        .mBegun = mBegun,
-                       .mTimeLeft = TimeLeft() > kLeastTimeLeft };
+                       .mTimeLeft = TimeLeft() > kMinTimeLeft };
 }
 
 void
 Exchange::Dispatch()
 {
   const bool isFirst = mRuns == 0 && mRefusals == 0;
-  const bool knows = mCore.mStartPlan.KnowsEnough(mCore.mNow()) &&
+  const bool knows = mCore.mStartupPolicy.HasEnoughUpdates(mCore.mNow()) &&
                      mCore.mGate.Knows() && mCore.mRollouts.Knows();
-  if (isFirst && !knows && WaitForStart()) {
+  if (isFirst && !knows && WaitForStartup()) {
     return;
   }
-  if (PassGate()) {
-    GoOnFromGate();
+  if (RequestPermit()) {
+    ResumeAfterGate();
   }
 }
 
@@ -75,34 +75,34 @@
 Exchange::Place()
 {
   const TimePoint now = mCore.mNow();
-  const auto choice = mCore.mBoard.Choose(mQuestion, now);
+  const auto choice = mCore.mBoard.Choose(mSelectionQuery, now);
   if (choice) {
-    const auto comeBack = RefusesLate(*choice);
-    if (!comeBack) {
+    const auto retryAfter = RefusesLate(*choice);
+    if (!retryAfter) {
       SendTo(*choice);
-    } else if (mQuestion.mLooksFurther) {
-      RefuseLate(*choice, *comeBack);
+    } else if (mSelectionQuery.mLooksFurther) {
+      RefuseLate(*choice, *retryAfter);
     } else {
-      mQuestion.mLooksFurther = true;
+      mSelectionQuery.mLooksFurther = true;
       Dispatch();
     }
     return;
   }
-  if (mRuns == 0 && mRefusals == 0 && WaitForStart()) {
+  if (mRuns == 0 && mRefusals == 0 && WaitForStartup()) {
     return;
   }
   if (mBegun) {
-    BreakOff("no upstream left");
+    AbortResponse("no upstream left");
   } else if (mRuns > 0) {
-    AnswerOwn(kBadGateway, "no upstream left");
+    SendLocalResponse(kBadGateway, "no upstream left");
   } else {
     mCore.mCounters.Add(CounterId::kRefusedNoUpstream);
-    AnswerOwn(kUnavailable, "no upstream", kComeBackSoon);
+    SendLocalResponse(kUnavailable, "no upstream", kShortRetryAfterSeconds);
   }
 }
 
 void
-Exchange::NoteChosen(const UpstreamChoice& aChoice)
+Exchange::RecordChoice(const UpstreamChoice& aChoice)
 {
   mUpstream = aChoice.mName;
   mUpstreamAddress = aChoice.mAddress;
@@ -110,14 +110,14 @@
     mCore.mRollouts.NoteSent(mService);
   }
   mVersion = aChoice.mVersion;
-  mPieces = 0;
+  mEventBatches = 0;
   if (mCore.mRollouts.IsTrying(mService, mVersion)) {
     mCore.mCounters.Add(CounterId::kNewVersionSent);
   }
-  mQuestion.mTried.insert(mUpstream);
-  mHead = UpstreamHead{};
+  mSelectionQuery.mTried.insert(mUpstream);
+  mHead = ResponseHead{};
   mBody.clear();
-  mEvents.DropRest();
+  mEvents.DropIncomplete();
 }
 
 void
@@ -142,7 +142,7 @@
       { "copies", aChoice.mNeighbour.has_value() },
       { "load_age_ms",
         aChoice.mReportAge ? *aChoice.mReportAge : Duration(-1000) },
-      { "ask_ms", mAskTook },
+      { "ask_ms", mLoadQueryTook },
       { "heard", aChoice.mHeard },
       { "runs", mRuns },
       { "refusals", mRefusals },
@@ -155,14 +155,14 @@
 Exchange::SendTo(const UpstreamChoice& aChoice)
 {
   const TimePoint now = mCore.mNow();
-  NoteChosen(aChoice);
+  RecordChoice(aChoice);
   mSent = mCore.mBoard.Sent(aChoice, now);
   TellSent(aChoice);
   LogSent(aChoice);
-  std::string bytes = WriteForward(
+  std::string bytes = WriteUpstreamRequest(
     mRequest,
     mCore.mNames,
-    ForwardTerms{
+    UpstreamRequestFields{
       .mCustomer = mCustomer == nullptr ? "" : mCustomer->mName.Value(),
       .mUpstream = mUpstream.Value(),
       .mDeadlineMs =
@@ -171,16 +171,16 @@
       .mPriority = EnginePriority(),
       .mFetchFrom = aChoice.mNeighbour,
       .mLastEvent = mEvents.LastId() });
-  mLink = mCore.mPool.Take(mUpstream, now);
-  if (mLink) {
-    mLink->Send(std::move(bytes), this);
+  mConnection = mCore.mPool.Acquire(mUpstream, now);
+  if (mConnection) {
+    mConnection->Send(std::move(bytes), this);
     return;
   }
-  mLink = std::make_shared<UpstreamLink>(mCore.mIo, mUpstream);
-  mLink->Open(aChoice.mAddress,
-              std::min(kConnectTimeout, TimeLeft()),
-              std::move(bytes),
-              this);
+  mConnection = std::make_shared<UpstreamConnection>(mCore.mIo, mUpstream);
+  mConnection->Open(aChoice.mAddress,
+                    std::min(kConnectTimeout, TimeLeft()),
+                    std::move(bytes),
+                    this);
 }
 
 std::optional<unsigned>
@@ -191,11 +191,11 @@
   }
   const auto counts =
     ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
-  return counts && counts->mPrompt < kSmallPrompt ? 1U : 5U;
+  return counts && counts->mPrompt < kSmallPromptTokens ? 1U : 5U;
 }
 
 void
-Exchange::EndSend(SendResult aResult)
+Exchange::EndAttempt(SendResult aResult)
 {
   const TimePoint now = mCore.mNow();
   if (TellEnded(aResult)) {
@@ -205,9 +205,9 @@
                         { "request", mId },
                         { "result", static_cast<int>(aResult) } });
   }
-  if (mLink) {
-    const auto link = std::exchange(mLink, nullptr);
-    mCore.mPool.Keep(link, now);
+  if (mConnection) {
+    const auto connection = std::exchange(mConnection, nullptr);
+    mCore.mPool.Release(connection, now);
   }
 }
 
--- a/src/gateway/Exchange.h
+++ b/src/gateway/Exchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "gateway/CallerLink.h"
+#include "gateway/CallerConnection.h"
 #include "gateway/EventSplitter.h"
 #include "gateway/GatewayCore.h"
-#include "gateway/UpstreamLink.h"
+#include "gateway/UpstreamConnection.h"
 #include "peridotspool/gateway/AttemptPolicy.h"
 #include "peridotspool/gateway/HeaderRules.h"
 
@@ -25,30 +25,30 @@
 {
 public:
   Exchange(GatewayCore& aCore,
-           std::shared_ptr<CallerLink> aCaller,
+           std::shared_ptr<CallerConnection> aCaller,
            CallerRequest aRequest);
 
   /** Called once when the exchange is over. */
-  void OnOver(std::function<void()> aCall) { mOnOver = std::move(aCall); }
+  void SetOnEnded(std::function<void()> aCall) { mOnEnded = std::move(aCall); }
   void Start();
   /** The caller left. */
   void Cancel();
 
-  bool OnHead(UpstreamHead aHead) override;
+  bool OnHead(ResponseHead aHead) override;
   void OnBody(std::string aBytes) override;
   void OnEnd() override;
-  void OnBroken(const LinkFailure& aFailure) override;
+  void OnConnectionFailed(const ConnectionFailure& aFailure) override;
 
 private:
-  bool WaitForStart();
-  void GoOn();
+  bool WaitForStartup();
+  void ResumeAfterStartup();
   bool Admit();
   bool OutlivesProcess() const;
-  void AskQuota();
-  void OnQuota(const QuotaDecided& aDecided);
-  void TakeGranted(const QuotaReceipt& aReceipt);
-  void GiveBack(const QuotaReceipt& aReceipt);
-  void RefuseForQuota(Duration aComeBack, QuotaSource aDecidedBy);
+  void RequestQuota();
+  void OnQuotaResponse(const QuotaDecided& aDecided);
+  void OnQuotaGranted(const QuotaReceipt& aReceipt);
+  void ReturnQuota(const QuotaReceipt& aReceipt);
+  void RefuseForQuota(Duration aRetryAfter, QuotaSource aDecidedBy);
   double Units() const;
   void CountUsage();
   void ChooseService();
@@ -56,48 +56,52 @@
   AttemptFacts Facts() const;
   void Dispatch();
   void ChooseVersion();
-  rollout::VersionAnswer VersionAnswerOf(bool aFailed) const;
-  void NoteVersion(bool aFailed);
-  void NoteOverlong();
+  rollout::VersionAnswer MakeVersionAnswer(bool aFailed) const;
+  void RecordVersionAnswer(bool aFailed);
+  void RecordOverdueAnswer();
   bool AskKeepers();
   void GoOnAsked();
   void StopAsking();
   void Place();
   std::optional<Duration> RefusesLate(const UpstreamChoice& aChoice) const;
-  void RefuseLate(const UpstreamChoice& aChoice, Duration aComeBack);
+  void RefuseLate(const UpstreamChoice& aChoice, Duration aRetryAfter);
   void SendTo(const UpstreamChoice& aChoice);
-  void NoteChosen(const UpstreamChoice& aChoice);
+  void RecordChoice(const UpstreamChoice& aChoice);
   void LogSent(const UpstreamChoice& aChoice);
   void TellSent(const UpstreamChoice& aChoice);
   std::uint64_t EngineMemory() const;
   void TellBegun();
   bool TellEnded(SendResult aResult);
-  void TakeLoad();
-  bool SaysNotRun() const;
+  void RecordLoad();
+  bool IsNotRun() const;
   std::optional<unsigned> EnginePriority() const;
-  void EndSend(SendResult aResult);
-  void TryAnother(observe::CounterId aRetry);
-  void Follow(NextStep aStep, const char* aReason, observe::CounterId aRetry);
+  void EndAttempt(SendResult aResult);
+  void RetryElsewhere(observe::CounterId aRetry);
+  void ApplyNextStep(NextStep aStep,
+                     const char* aReason,
+                     observe::CounterId aRetry);
   void WaitForCaller();
   void RelayEvents(std::string_view aEvents);
-  void WitnessBreak(const LinkFailure& aFailure);
-  bool PassGate();
-  void OnGate(std::uint64_t aTag, routing::GateOutcome aOutcome);
-  void GoOnFromGate();
-  void RefuseAtGate(routing::GateOutcome aOutcome);
-  void LeaveGate();
-  void NoteAnswered();
-  void LogTurn(const char* aOutcome);
+  void RecordConnectionLoss(const ConnectionFailure& aFailure);
+  bool RequestPermit();
+  void OnGateOutcome(std::uint64_t aTag, routing::GateOutcome aOutcome);
+  void ResumeAfterGate();
+  void RefuseQuarantined(routing::GateOutcome aOutcome);
+  void LeaveQuarantineGate();
+  void RecordAnswered();
+  void LogPermit(const char* aOutcome);
   void FinishWhole();
   void FinishStream();
   void OnTimeout();
-  void AnswerOwn(unsigned aStatus, const char* aReason, double aRetryAfter = 0);
-  void BreakOff(const char* aReason);
+  void SendLocalResponse(unsigned aStatus,
+                         const char* aReason,
+                         double aRetryAfter = 0);
+  void AbortResponse(const char* aReason);
   void End(unsigned aStatus, const char* aReason);
   bool KeepAlive() const;
 
   GatewayCore& mCore;
-  std::shared_ptr<CallerLink> mCaller;
+  std::shared_ptr<CallerConnection> mCaller;
   CallerRequest mRequest;
   std::shared_ptr<const RouteTable> mTable;
   const Route* mRoute = nullptr;
@@ -108,51 +112,51 @@
   TimePoint mArrivedAt;
   TimePoint mDeadline;
   http::net::steady_timer mTimer;
-  http::net::steady_timer mSlowTimer;
-  http::net::steady_timer mAskTimer;
-  ChooseQuestion mQuestion;
+  http::net::steady_timer mWaitTimer;
+  http::net::steady_timer mLoadQueryTimer;
+  ChooseQuestion mSelectionQuery;
 
-  std::shared_ptr<UpstreamLink> mLink;
+  std::shared_ptr<UpstreamConnection> mConnection;
   UpstreamName mUpstream;
   Address mUpstreamAddress;
   VersionName mVersion;
   /** Why it goes to upstreams of these versions, for the log. */
   const char* mVersionReason = "";
   /** Pieces of its stream from the present upstream. */
-  std::uint64_t mPieces = 0;
-  TimePoint mFirstPieceAt;
+  std::uint64_t mEventBatches = 0;
+  TimePoint mFirstBatchAt;
   SentRequest mSent;
   std::uint64_t mQuotaTag = 0;
   /** The gate's tag that it waits under; 0 for none. */
   std::uint64_t mGateTag = 0;
   /** The turn of its content, until its run has ended; 0 for none. */
-  std::uint64_t mTurn = 0;
-  TimePoint mAtGateSince;
+  std::uint64_t mPermit = 0;
+  TimePoint mGateWaitStart;
   /** The inquiry that it waits for; 0 for none. */
-  std::uint64_t mAskTag = 0;
-  TimePoint mAskedAt;
-  Duration mAskTook{ 0 };
+  std::uint64_t mLoadQueryTag = 0;
+  TimePoint mLoadQueriedAt;
+  Duration mLoadQueryTook{ 0 };
   /** Who keeps account of the send under way. */
-  std::optional<Address> mKeeper;
-  std::uint64_t mLoadSend = 0;
+  std::optional<Address> mCoordinator;
+  std::uint64_t mLoadSendId = 0;
   /** It counts against its customer's limit. */
   bool mGranted = false;
   QuotaReceipt mReceipt;
   bool mCounted = false;
   std::uint32_t mRuns = 0;
   std::uint32_t mRefusals = 0;
-  UpstreamHead mHead;
+  ResponseHead mHead;
   std::string mBody;
   EventSplitter mEvents;
-  bool mWaitsForStart = false;
+  bool mWaitingForStartup = false;
   bool mIsStream = false;
   /** The head of the answer is on its way to the caller. */
   bool mBegun = false;
   TimePoint mFirstEventAt;
   TimePoint mLastEventAt;
-  Duration mWorstGap{ 0 };
+  Duration mMaxGap{ 0 };
   bool mOver = false;
-  std::function<void()> mOnOver;
+  std::function<void()> mOnEnded;
 };
 
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeEnd.cpp
+++ b/src/gateway/ExchangeEnd.cpp
@@ -14,7 +14,7 @@
 using observe::CounterId;
 using observe::EventId;
 
-constexpr double kComeBackSoon = 0.3;
+constexpr double kShortRetryAfterSeconds = 0.3;
 constexpr unsigned kFirstRefusal = 300;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
@@ -23,7 +23,7 @@
 } // namespace
 
 void
-Exchange::TryAnother(CounterId aRetry)
+Exchange::RetryElsewhere(CounterId aRetry)
 {
   // What never reached an upstream is no repeat for it.
   const bool free = mRuns == 0 && aRetry == CounterId::kRetryConnectionBroken;
@@ -31,32 +31,33 @@
     mCore.mCounters.Add(aRetry);
     Dispatch();
   } else if (mBegun) {
-    BreakOff("repeats are spent");
+    AbortResponse("repeats are spent");
   } else if (mRuns > 0) {
-    AnswerOwn(kBadGateway, "repeats are spent");
+    SendLocalResponse(kBadGateway, "repeats are spent");
   } else {
     mCore.mCounters.Add(CounterId::kRefusedRetryBudget);
-    AnswerOwn(kUnavailable, "repeats are spent", kComeBackSoon);
+    SendLocalResponse(
+      kUnavailable, "repeats are spent", kShortRetryAfterSeconds);
   }
 }
 
 void
-Exchange::Follow(NextStep aStep, const char* aReason, CounterId aRetry)
+Exchange::ApplyNextStep(NextStep aStep, const char* aReason, CounterId aRetry)
 {
   switch (aStep) {
     case NextStep::kTryAnother:
-      TryAnother(aRetry);
+      RetryElsewhere(aRetry);
       return;
     case NextStep::kRefuse:
       mCore.mCounters.Add(CounterId::kRefusedRetriesSpent);
-      AnswerOwn(kUnavailable, aReason, kComeBackSoon);
+      SendLocalResponse(kUnavailable, aReason, kShortRetryAfterSeconds);
       return;
     case NextStep::kFail:
     case NextStep::kPassOn:
-      AnswerOwn(kBadGateway, aReason);
+      SendLocalResponse(kBadGateway, aReason);
       return;
     case NextStep::kBreakOff:
-      BreakOff(aReason);
+      AbortResponse(aReason);
       return;
   }
 }
@@ -64,20 +65,20 @@
 void
 Exchange::OnTimeout()
 {
-  if (mLink) {
-    NoteOverlong();
-    mLink->Drop();
-    mLink.reset();
+  if (mConnection) {
+    RecordOverdueAnswer();
+    mConnection->Drop();
+    mConnection.reset();
     ++mRuns;
     TellEnded(SendResult::kFailed);
   }
   if (mBegun) {
-    BreakOff("out of time");
+    AbortResponse("out of time");
   } else if (mRuns > 0) {
-    AnswerOwn(kGatewayTimeout, "out of time");
+    SendLocalResponse(kGatewayTimeout, "out of time");
   } else {
     mCore.mCounters.Add(CounterId::kRefusedDeadline);
-    AnswerOwn(kUnavailable, "out of time", kComeBackSoon);
+    SendLocalResponse(kUnavailable, "out of time", kShortRetryAfterSeconds);
   }
 }
 
@@ -87,10 +88,10 @@
   if (mOver) {
     return;
   }
-  if (mLink) {
-    NoteOverlong();
-    mLink->Drop();
-    mLink.reset();
+  if (mConnection) {
+    RecordOverdueAnswer();
+    mConnection->Drop();
+    mConnection.reset();
     TellEnded(SendResult::kAnswered);
   }
   mCore.mCounters.Add(CounterId::kCancelled);
@@ -104,10 +105,12 @@
 }
 
 void
-Exchange::AnswerOwn(unsigned aStatus, const char* aReason, double aRetryAfter)
+Exchange::SendLocalResponse(unsigned aStatus,
+                            const char* aReason,
+                            double aRetryAfter)
 {
-  mCaller->Answer(
-    WriteOwnAnswer(
+  mCaller->SendResponse(
+    WriteLocalResponse(
       { .mStatus = aStatus, .mReason = aReason, .mRetryAfter = aRetryAfter },
       mCore.mNames.mRequestId,
       mId,
@@ -118,7 +121,7 @@
 }
 
 void
-Exchange::BreakOff(const char* aReason)
+Exchange::AbortResponse(const char* aReason)
 {
   mCaller->Abort();
   mCore.mCounters.Add(CounterId::kUnknownOutcome);
@@ -130,17 +133,17 @@
 {
   if (mQuotaTag != 0) {
     mCore.mQuota.Forget(mQuotaTag);
-    mCore.mWaiting.erase(mQuotaTag);
+    mCore.mQuotaWaiters.erase(mQuotaTag);
     mQuotaTag = 0;
   }
   if (mGranted && mRuns == 0) {
-    GiveBack(mReceipt);
+    ReturnQuota(mReceipt);
   }
-  LeaveGate();
+  LeaveQuarantineGate();
   mOver = true;
-  mWaitsForStart = false;
+  mWaitingForStartup = false;
   mTimer.cancel();
-  mSlowTimer.cancel();
+  mWaitTimer.cancel();
   StopAsking();
   const Duration took = mCore.mNow() - mArrivedAt;
   if (aStatus >= 200 && aStatus < kFirstRefusal) {
@@ -163,9 +166,9 @@
       { "begun", mBegun },
       { "first_ms",
         mBegun ? Duration(mFirstEventAt - mArrivedAt) : Duration(0) },
-      { "worst_gap_ms", mWorstGap },
+      { "worst_gap_ms", mMaxGap },
       { "took_ms", took } });
-  if (auto call = std::exchange(mOnOver, {})) {
+  if (auto call = std::exchange(mOnEnded, {})) {
     call();
   }
 }
--- a/src/gateway/ExchangeLoad.cpp
+++ b/src/gateway/ExchangeLoad.cpp
@@ -36,43 +36,44 @@
 bool
 Exchange::AskKeepers()
 {
-  mAskTook = Duration(0);
-  mQuestion.mAmong.clear();
-  mQuestion.mKept.clear();
-  const auto shortlist = mCore.mBoard.Shortlist(mQuestion, mCore.mNow());
-  const LoadInquiry inquiry =
-    mCore.mInquiries.Begin(shortlist, mQuestion.mPrompt.mParts, mCore.mKeepers);
+  mLoadQueryTook = Duration(0);
+  mSelectionQuery.mAmong.clear();
+  mSelectionQuery.mKept.clear();
+  const auto shortlist = mCore.mBoard.Shortlist(mSelectionQuery, mCore.mNow());
+  const LoadInquiry inquiry = mCore.mLoadQueries.Begin(
+    shortlist, mSelectionQuery.mPrompt.mParts, mCore.mKeepers);
   if (inquiry.mQuestions.empty()) {
     return false;
   }
   for (const ShortlistedUpstream& upstream : shortlist) {
-    mQuestion.mAmong.push_back(upstream.mName);
+    mSelectionQuery.mAmong.push_back(upstream.mName);
   }
-  mAskTag = inquiry.mTag;
-  mAskedAt = mCore.mNow();
+  mLoadQueryTag = inquiry.mTag;
+  mLoadQueriedAt = mCore.mNow();
   const std::weak_ptr<Exchange> weak = weak_from_this();
   const auto goOn = [weak, tag = inquiry.mTag] {
-    if (const auto self = weak.lock(); self && self->mAskTag == tag) {
+    if (const auto self = weak.lock(); self && self->mLoadQueryTag == tag) {
       self->GoOnAsked();
     }
   };
-  mCore.mAsking[mAskTag] = { .mTake =
-                               [weak](const LoadLine& aLine) {
-                                 if (const auto self = weak.lock()) {
-                                   self->mQuestion.mKept[aLine.mUpstream] =
-                                     aLine.mKept;
-                                 }
-                               },
-                             .mGoOn = goOn };
-  mAskTimer.expires_after(kAskFor);
-  mAskTimer.async_wait([goOn](http::ErrorCode aError) {
+  mCore.mLoadWaiters[mLoadQueryTag] = {
+    .mOnLoad =
+      [weak](const LoadLine& aLine) {
+        if (const auto self = weak.lock()) {
+          self->mSelectionQuery.mKept[aLine.mUpstream] = aLine.mKept;
+        }
+      },
+    .mResume = goOn
+  };
+  mLoadQueryTimer.expires_after(kAskFor);
+  mLoadQueryTimer.async_wait([goOn](http::ErrorCode aError) {
     if (!aError) {
       goOn();
     }
   });
   mCore.mCounters.Add(observe::CounterId::kLoadAsked);
   for (const KeeperQuestion& question : inquiry.mQuestions) {
-    mCore.mTellEntry(question.mKeeper, question.mAsk);
+    mCore.mSendToEntry(question.mKeeper, question.mAsk);
   }
   return true;
 }
@@ -80,24 +81,24 @@
 void
 Exchange::GoOnAsked()
 {
-  if (mCore.mAsking.contains(mAskTag)) {
+  if (mCore.mLoadWaiters.contains(mLoadQueryTag)) {
     mCore.mCounters.Add(observe::CounterId::kLoadUnanswered);
   }
   StopAsking();
-  mAskTook = mCore.mNow() - mAskedAt;
+  mLoadQueryTook = mCore.mNow() - mLoadQueriedAt;
   Place();
 }
 
 void
 Exchange::StopAsking()
 {
-  if (mAskTag == 0) {
+  if (mLoadQueryTag == 0) {
     return;
   }
-  mAskTimer.cancel();
-  mCore.mInquiries.Forget(mAskTag);
-  mCore.mAsking.erase(mAskTag);
-  mAskTag = 0;
+  mLoadQueryTimer.cancel();
+  mCore.mLoadQueries.Forget(mLoadQueryTag);
+  mCore.mLoadWaiters.erase(mLoadQueryTag);
+  mLoadQueryTag = 0;
 }
 
 // Without it entries that each see an idle engine send their long prompts to
@@ -105,18 +106,18 @@
 void
 Exchange::TellSent(const UpstreamChoice& aChoice)
 {
-  mKeeper = mCore.mKeepers.KeeperOf(aChoice.mName, aChoice.mDomain);
-  if (!mKeeper) {
+  mCoordinator = mCore.mKeepers.KeeperOf(aChoice.mName, aChoice.mDomain);
+  if (!mCoordinator) {
     return;
   }
-  mLoadSend = ++mCore.mLastSend;
-  mCore.mTellEntry(*mKeeper,
-                   LoadSent{ .mUpstream = aChoice.mName,
-                             .mIncarnation = aChoice.mIncarnation,
-                             .mSend = mLoadSend,
-                             .mReadUs = ToMicroseconds(mSent.mReading),
-                             .mParts = mQuestion.mPrompt.mParts,
-                             .mMemory = EngineMemory() });
+  mLoadSendId = ++mCore.mLastSendId;
+  mCore.mSendToEntry(*mCoordinator,
+                     LoadSent{ .mUpstream = aChoice.mName,
+                               .mIncarnation = aChoice.mIncarnation,
+                               .mSend = mLoadSendId,
+                               .mReadUs = ToMicroseconds(mSent.mReading),
+                               .mParts = mSelectionQuery.mPrompt.mParts,
+                               .mMemory = EngineMemory() });
 }
 
 // Empty where it is to be sent: also where it may have run already, or its
@@ -129,7 +130,7 @@
   }
   return ComeBackIn({ .mExpected = aChoice.mExpected,
                       .mObjective = mRoute->mTargetLatency,
-                      .mPrompt = mQuestion.mPrompt.Tokens(),
+                      .mPrompt = mSelectionQuery.mPrompt.Tokens(),
                       .mHeard = aChoice.mHeard,
                       .mFullness = aChoice.mFullness });
 }
@@ -151,9 +152,9 @@
                       { "candidates", aChoice.mCandidates },
                       { "asked_ms", mCore.mNow() - mArrivedAt },
                       { "come_back_ms", aComeBack } });
-  AnswerOwn(kUnavailable,
-            "upstreams are behind",
-            std::chrono::duration<double>(aComeBack).count());
+  SendLocalResponse(kUnavailable,
+                    "upstreams are behind",
+                    std::chrono::duration<double>(aComeBack).count());
 }
 
 std::uint64_t
@@ -172,8 +173,8 @@
 void
 Exchange::TellBegun()
 {
-  if (mCore.mBoard.Began(mSent, mCore.mNow()) && mKeeper) {
-    mCore.mTellEntry(*mKeeper, LoadBegun{ mUpstream, mLoadSend });
+  if (mCore.mBoard.Began(mSent, mCore.mNow()) && mCoordinator) {
+    mCore.mSendToEntry(*mCoordinator, LoadBegun{ mUpstream, mLoadSendId });
   }
 }
 
@@ -181,12 +182,12 @@
 bool
 Exchange::TellEnded(SendResult aResult)
 {
-  if (const auto keeper = std::exchange(mKeeper, std::nullopt)) {
-    mCore.mTellEntry(*keeper,
-                     LoadEnded{ .mUpstream = mUpstream,
-                                .mSend = mLoadSend,
-                                .mWasRead = !mSent.IsReading(),
-                                .mFailed = IsFailure(aResult) });
+  if (const auto keeper = std::exchange(mCoordinator, std::nullopt)) {
+    mCore.mSendToEntry(*keeper,
+                       LoadEnded{ .mUpstream = mUpstream,
+                                  .mSend = mLoadSendId,
+                                  .mWasRead = !mSent.IsReading(),
+                                  .mFailed = IsFailure(aResult) });
   }
   return mCore.mBoard.Ended(mSent, aResult, mCore.mNow());
 }
--- a/src/gateway/ExchangeGate.cpp
+++ b/src/gateway/ExchangeQuarantine.cpp
@@ -13,20 +13,21 @@
 using routing::GateOutcome;
 
 /** The content is refused for as long as it comes; each return is in vain. */
-constexpr double kComeBackRefused = 60.0;
+constexpr double kQuarantinedRetryAfterSeconds = 60.0;
 /** By then another request of the content has shown what it does. */
-constexpr double kComeBackNoTurn = 1.0;
+constexpr double kNoPermitRetryAfterSeconds = 1.0;
 
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
 
 } // namespace
 
-// Returns true iff it may be sent now; OnGate follows where it has to wait.
+// Returns true iff it may be sent now; OnGateOutcome follows where it has to
+// wait.
 bool
-Exchange::PassGate()
+Exchange::RequestPermit()
 {
-  if (mTurn != 0) {
+  if (mPermit != 0) {
     return true;
   }
   const TimePoint now = mCore.mNow();
@@ -35,42 +36,42 @@
     return true;
   }
   if (answer.mOutcome != GateOutcome::kWaits) {
-    RefuseAtGate(answer.mOutcome);
+    RefuseQuarantined(answer.mOutcome);
     return false;
   }
   mGateTag = answer.mTag;
-  mAtGateSince = now;
+  mGateWaitStart = now;
   const std::weak_ptr<Exchange> weak = weak_from_this();
-  mCore.mAtGate[mGateTag] = [weak, tag = mGateTag](GateOutcome aOutcome) {
+  mCore.mGateWaiters[mGateTag] = [weak, tag = mGateTag](GateOutcome aOutcome) {
     if (const auto self = weak.lock()) {
-      self->OnGate(tag, aOutcome);
+      self->OnGateOutcome(tag, aOutcome);
     }
   };
-  mCore.mTellLeader(answer.mAsk);
+  mCore.mSendToLeader(answer.mAsk);
   return false;
 }
 
 void
-Exchange::OnGate(std::uint64_t aTag, GateOutcome aOutcome)
+Exchange::OnGateOutcome(std::uint64_t aTag, GateOutcome aOutcome)
 {
   mGateTag = 0;
   if (aOutcome == GateOutcome::kHasTurn) {
-    mTurn = aTag;
-    LogTurn("has it");
-    GoOnFromGate();
+    mPermit = aTag;
+    LogPermit("has it");
+    ResumeAfterGate();
   } else if (aOutcome == GateOutcome::kGoes) {
-    GoOnFromGate();
+    ResumeAfterGate();
   } else {
-    LogTurn("waited in vain");
-    RefuseAtGate(aOutcome);
+    LogPermit("waited in vain");
+    RefuseQuarantined(aOutcome);
   }
 }
 
 // Whoever runs beside it may lose an answer by it: it goes where least runs.
 void
-Exchange::GoOnFromGate()
+Exchange::ResumeAfterGate()
 {
-  mQuestion.mLeastFull = mTurn != 0;
+  mSelectionQuery.mLeastFull = mPermit != 0;
   ChooseVersion();
   if (!AskKeepers()) {
     Place();
@@ -78,22 +79,22 @@
 }
 
 void
-Exchange::RefuseAtGate(GateOutcome aOutcome)
+Exchange::RefuseQuarantined(GateOutcome aOutcome)
 {
   const bool refused = aOutcome == GateOutcome::kRefused;
   const char* const reason = refused
                                ? "upstreams end under requests like this one"
                                : "its turn did not come";
   if (mBegun) {
-    BreakOff(reason);
+    AbortResponse(reason);
     return;
   }
   if (mRuns > 0) {
-    AnswerOwn(kBadGateway, reason);
+    SendLocalResponse(kBadGateway, reason);
     return;
   }
   if (refused) {
-    mCore.NoteCameAgain(mContent);
+    mCore.RecordResubmitted(mContent);
   }
   mCore.mCounters.Add(refused ? CounterId::kRefusedQuarantine
                               : CounterId::kRefusedNoTurn);
@@ -104,40 +105,43 @@
                       { "service", mService },
                       { "quarantine", mCore.mGate.Known() },
                       { "asked_ms", mCore.mNow() - mArrivedAt } });
-  AnswerOwn(kUnavailable, reason, refused ? kComeBackRefused : kComeBackNoTurn);
+  SendLocalResponse(kUnavailable,
+                    reason,
+                    refused ? kQuarantinedRetryAfterSeconds
+                            : kNoPermitRetryAfterSeconds);
 }
 
 void
-Exchange::LogTurn(const char* aOutcome)
+Exchange::LogPermit(const char* aOutcome)
 {
   mCore.mLogger.Log(EventId::kTurnTaken,
                     { { "request", mId },
                       { "content", ToText(mContent) },
                       { "outcome", aOutcome },
-                      { "waited_ms", mCore.mNow() - mAtGateSince } });
+                      { "waited_ms", mCore.mNow() - mGateWaitStart } });
 }
 
 void
-Exchange::LeaveGate()
+Exchange::LeaveQuarantineGate()
 {
   if (mGateTag != 0) {
-    mCore.mAtGate.erase(mGateTag);
+    mCore.mGateWaiters.erase(mGateTag);
     mCore.mGate.Forget(std::exchange(mGateTag, 0));
   }
-  if (mTurn != 0) {
-    mCore.mTellLeader(mCore.mGate.Ended(std::exchange(mTurn, 0)));
+  if (mPermit != 0) {
+    mCore.mSendToLeader(mCore.mGate.Ended(std::exchange(mPermit, 0)));
   }
 }
 
 // An upstream has answered it and goes on: whatever ended others was not the
 // content.
 void
-Exchange::NoteAnswered()
+Exchange::RecordAnswered()
 {
   const auto ended =
-    mCore.mGate.Answered(std::exchange(mTurn, 0), mContent, mCore.mNow());
+    mCore.mGate.Answered(std::exchange(mPermit, 0), mContent, mCore.mNow());
   if (ended) {
-    mCore.mTellLeader(*ended);
+    mCore.mSendToLeader(*ended);
   }
 }
 
--- a/src/gateway/ExchangeQuota.cpp
+++ b/src/gateway/ExchangeQuota.cpp
@@ -16,7 +16,7 @@
 using observe::EventId;
 
 constexpr unsigned kTooMany = 429;
-constexpr double kLeastComeBack = 0.2;
+constexpr double kMinRetryAfterSeconds = 0.2;
 
 } // namespace
 
@@ -34,7 +34,7 @@
 }
 
 void
-Exchange::AskQuota()
+Exchange::RequestQuota()
 {
   if (mCustomer == nullptr) {
     Dispatch();
@@ -44,39 +44,39 @@
     mCore.mQuota.Take(*mCustomer, Units(), mCore.mNow());
   switch (answer.mOutcome) {
     case QuotaOutcome::kGranted:
-      TakeGranted(answer.mReceipt);
+      OnQuotaGranted(answer.mReceipt);
       return;
     case QuotaOutcome::kRefused:
       RefuseForQuota(answer.mComeBack, QuotaSource::kOwnPart);
       return;
     case QuotaOutcome::kAsked:
       mQuotaTag = answer.mTag;
-      mCore.mWaiting[mQuotaTag] =
+      mCore.mQuotaWaiters[mQuotaTag] =
         [self = shared_from_this()](const QuotaDecided& aDecided) {
-          self->OnQuota(aDecided);
+          self->OnQuotaResponse(aDecided);
         };
-      mCore.mTellLeader(answer.mAsk);
+      mCore.mSendToLeader(answer.mAsk);
       return;
   }
 }
 
 void
-Exchange::OnQuota(const QuotaDecided& aDecided)
+Exchange::OnQuotaResponse(const QuotaDecided& aDecided)
 {
   mQuotaTag = 0;
   if (mOver) {
     if (aDecided.mGranted) {
-      GiveBack(aDecided.mReceipt);
+      ReturnQuota(aDecided.mReceipt);
     }
   } else if (aDecided.mGranted) {
-    TakeGranted(aDecided.mReceipt);
+    OnQuotaGranted(aDecided.mReceipt);
   } else {
     RefuseForQuota(aDecided.mComeBack, aDecided.mReceipt.mSource);
   }
 }
 
 void
-Exchange::GiveBack(const QuotaReceipt& aReceipt)
+Exchange::ReturnQuota(const QuotaReceipt& aReceipt)
 {
   if (mCustomer != nullptr) {
     mCore.mQuota.GiveBack(*mCustomer, Units(), aReceipt, mCore.mNow());
@@ -84,7 +84,7 @@
 }
 
 void
-Exchange::TakeGranted(const QuotaReceipt& aReceipt)
+Exchange::OnQuotaGranted(const QuotaReceipt& aReceipt)
 {
   mGranted = true;
   mReceipt = aReceipt;
@@ -106,7 +106,7 @@
 }
 
 void
-Exchange::RefuseForQuota(Duration aComeBack, QuotaSource aDecidedBy)
+Exchange::RefuseForQuota(Duration aRetryAfter, QuotaSource aDecidedBy)
 {
   mCore.mCounters.Add(CounterId::kRefusedRateLimit);
   mCore.mLogger.Log(
@@ -120,11 +120,12 @@
       { "settings", mTable->Version() },
       { "decided_by", boost::describe::enum_to_string(aDecidedBy, "") },
       { "asked_ms", mCore.mNow() - mArrivedAt },
-      { "come_back_ms", aComeBack } });
-  AnswerOwn(
+      { "come_back_ms", aRetryAfter } });
+  SendLocalResponse(
     kTooMany,
     "over the customer's limit",
-    std::max(kLeastComeBack, std::chrono::duration<double>(aComeBack).count()));
+    std::max(kMinRetryAfterSeconds,
+             std::chrono::duration<double>(aRetryAfter).count()));
 }
 
 void
@@ -132,7 +133,7 @@
 {
   if (mCustomer != nullptr && !mCounted) {
     mCounted = true;
-    mCore.mUsage.Count(mCustomer->mName, mCore.mWall(), mCore.mNow());
+    mCore.mUsage.Count(mCustomer->mName, mCore.mWallClock(), mCore.mNow());
   }
 }
 
--- a/src/gateway/ExchangeAnswer.cpp
+++ b/src/gateway/ExchangeResponse.cpp
@@ -1,7 +1,7 @@
 // What an upstream answers, and how it reaches the caller.
 
 #include "gateway/Exchange.h"
-#include "gateway/LifeProbe.h"
+#include "gateway/IncarnationProbe.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,10 +14,10 @@
 using observe::EventId;
 
 /** A whole answer larger than this is not held, and so fails. */
-constexpr std::size_t kMostHeld = 8U << 20;
-constexpr Duration kSlowCheck = std::chrono::milliseconds(5);
+constexpr std::size_t kMaxHeldBytes = 8U << 20;
+constexpr Duration kSlowCallerCheckPeriod = std::chrono::milliseconds(5);
 /** Bytes that may wait for a slow caller before its upstream has to. */
-constexpr std::size_t kMostQueued = 256U << 10;
+constexpr std::size_t kMaxQueuedBytes = 256U << 10;
 
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kFirstServerError = 500;
@@ -31,7 +31,7 @@
 } // namespace
 
 void
-Exchange::TakeLoad()
+Exchange::RecordLoad()
 {
   const std::string_view load = FieldOf(mHead.mFields, mCore.mNames.mLoad);
   const std::size_t first = load.find(',');
@@ -50,7 +50,7 @@
 }
 
 bool
-Exchange::SaysNotRun() const
+Exchange::IsNotRun() const
 {
   return mHead.mStatus == kMisdirected ||
          !FieldOf(mHead.mFields, mCore.mNames.mNotRun).empty();
@@ -60,7 +60,7 @@
 // that already carries the next request, is known by it; without this check
 // one caller would get another one's answer.
 bool
-Exchange::OnHead(UpstreamHead aHead)
+Exchange::OnHead(ResponseHead aHead)
 {
   const std::string_view echoed =
     FieldOf(aHead.mFields, mCore.mNames.mRequestId);
@@ -73,7 +73,7 @@
     return false;
   }
   mHead = std::move(aHead);
-  TakeLoad();
+  RecordLoad();
   mIsStream = mRoute->mKind == RequestKind::kStreaming &&
               IsSuccess(mHead.mStatus) &&
               !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
@@ -85,17 +85,17 @@
 {
   if (!mIsStream) {
     mBody += aBytes;
-    if (mBody.size() > kMostHeld) {
-      mLink->Drop();
+    if (mBody.size() > kMaxHeldBytes) {
+      mConnection->Drop();
       ++mRuns;
-      EndSend(SendResult::kAnswered);
-      Follow(NextStep::kFail,
-             "the answer is over its bound",
-             CounterId::kRefusedBound);
+      EndAttempt(SendResult::kAnswered);
+      ApplyNextStep(NextStep::kFail,
+                    "the answer is over its bound",
+                    CounterId::kRefusedBound);
     }
     return;
   }
-  RelayEvents(mEvents.Take(aBytes));
+  RelayEvents(mEvents.Append(aBytes));
 }
 
 void
@@ -112,17 +112,17 @@
     CountUsage();
     mCore.mCounters.Histogram(observe::HistogramId::kFirstTokenTime)
       .Observe(now - mArrivedAt);
-    mCaller->Begin(WriteAnswerHead(mHead, std::nullopt, KeepAlive()));
+    mCaller->BeginChunked(WriteResponseHead(mHead, std::nullopt, KeepAlive()));
   } else {
     mCore.mCounters.Histogram(observe::HistogramId::kTokenGap)
       .Observe(now - mLastEventAt);
-    mWorstGap = std::max(mWorstGap, Duration(now - mLastEventAt));
+    mMaxGap = std::max(mMaxGap, Duration(now - mLastEventAt));
   }
   mLastEventAt = now;
-  if (mPieces++ == 0) {
-    mFirstPieceAt = now;
+  if (mEventBatches++ == 0) {
+    mFirstBatchAt = now;
   }
-  mCaller->Piece(aEvents);
+  mCaller->SendChunk(aEvents);
   WaitForCaller();
 }
 
@@ -131,16 +131,16 @@
 void
 Exchange::WaitForCaller()
 {
-  if (mOver || !mLink) {
+  if (mOver || !mConnection) {
     return;
   }
-  if (mCaller->QueuedBytes() <= kMostQueued) {
-    mLink->Resume();
+  if (mCaller->QueuedBytes() <= kMaxQueuedBytes) {
+    mConnection->Resume();
     return;
   }
-  mLink->Pause();
-  mSlowTimer.expires_after(kSlowCheck);
-  mSlowTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
+  mConnection->Pause();
+  mWaitTimer.expires_after(kSlowCallerCheckPeriod);
+  mWaitTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
     if (!aError) {
       self->WaitForCaller();
     }
@@ -150,13 +150,13 @@
 void
 Exchange::OnEnd()
 {
-  if (SaysNotRun()) {
+  if (IsNotRun()) {
     ++mRefusals;
-    EndSend(mHead.mStatus == kMisdirected ? SendResult::kOther
-                                          : SendResult::kFull);
-    Follow(AfterNotRun(Facts()),
-           "upstreams refused",
-           CounterId::kRetryUpstreamRefused);
+    EndAttempt(mHead.mStatus == kMisdirected ? SendResult::kOther
+                                             : SendResult::kFull);
+    ApplyNextStep(AfterNotRun(Facts()),
+                  "upstreams refused",
+                  CounterId::kRetryUpstreamRefused);
     return;
   }
   ++mRuns;
@@ -170,16 +170,16 @@
 void
 Exchange::FinishStream()
 {
-  NoteVersion(false);
-  EndSend(SendResult::kAnswered);
-  NoteAnswered();
+  RecordVersionAnswer(false);
+  EndAttempt(SendResult::kAnswered);
+  RecordAnswered();
   if (!mBegun) {
-    mCaller->Begin(WriteAnswerHead(mHead, std::nullopt, KeepAlive()));
+    mCaller->BeginChunked(WriteResponseHead(mHead, std::nullopt, KeepAlive()));
   }
-  if (!mEvents.Rest().empty()) {
-    mCaller->Piece(mEvents.Rest());
+  if (!mEvents.Incomplete().empty()) {
+    mCaller->SendChunk(mEvents.Incomplete());
   }
-  mCaller->Finish(KeepAlive());
+  mCaller->FinishChunked(KeepAlive());
   End(mHead.mStatus, "whole");
 }
 
@@ -188,19 +188,19 @@
 {
   const bool stamped = !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
   if (IsSuccess(mHead.mStatus) && !stamped) {
-    EndSend(SendResult::kFailed);
-    Follow(AfterLost(Facts()),
-           "an answer without proof",
-           CounterId::kRetryCrossedAnswer);
+    EndAttempt(SendResult::kFailed);
+    ApplyNextStep(AfterLost(Facts()),
+                  "an answer without proof",
+                  CounterId::kRetryCrossedAnswer);
     return;
   }
   if (stamped) {
     CountUsage();
   }
-  NoteAnswered();
+  RecordAnswered();
   const bool failed = mHead.mStatus >= kFirstServerError;
-  NoteVersion(failed);
-  EndSend(failed ? SendResult::kFailed : SendResult::kAnswered);
+  RecordVersionAnswer(failed);
+  EndAttempt(failed ? SendResult::kFailed : SendResult::kAnswered);
   if (failed && AfterFailure(Facts()) == NextStep::kTryAnother &&
       mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
     mCore.mCounters.Add(mCore.mRollouts.IsTrying(mService, mVersion)
@@ -210,24 +210,24 @@
     return;
   }
   if (mBegun) {
-    BreakOff("the upstream failed to go on");
+    AbortResponse("the upstream failed to go on");
     return;
   }
   std::string answer =
-    WriteAnswerHead(mHead, mBody.size(), KeepAlive()) + mBody;
-  mCaller->Answer(std::move(answer), KeepAlive());
+    WriteResponseHead(mHead, mBody.size(), KeepAlive()) + mBody;
+  mCaller->SendResponse(std::move(answer), KeepAlive());
   End(mHead.mStatus, "whole");
 }
 
 // What ended may be the connection, or the upstream. One that said that it
 // leaves may end at any time and loses nothing by what it ran.
 void
-Exchange::WitnessBreak(const LinkFailure& aFailure)
+Exchange::RecordConnectionLoss(const ConnectionFailure& aFailure)
 {
   const routing::UpstreamLife life{ .mName = mUpstream,
                                     .mIncarnation = mSent.mIncarnation };
   if (aFailure.mRefused) {
-    mCore.NoteRefused(life);
+    mCore.OnConnectionRefused(life);
     return;
   }
   if (!aFailure.mMayHaveBeenSent || !mCore.mBoard.IsReady(mUpstream)) {
@@ -238,20 +238,20 @@
                                          { .mContent = mContent,
                                            .mSentAt = mSent.mSentAt,
                                            .mLostAt = mCore.mNow(),
-                                           .mHadTurn = mTurn != 0 });
-  mCore.mGate.Lost(std::exchange(mTurn, 0), mCore.mNow());
+                                           .mHadTurn = mPermit != 0 });
+  mCore.mGate.Lost(std::exchange(mPermit, 0), mCore.mNow());
   if (ended) {
-    mCore.NoteEnded(*ended);
+    mCore.OnUpstreamEnded(*ended);
   } else if (mCore.mWitness.ShouldProbe(life)) {
-    ProbeLife(mCore, life, mUpstreamAddress);
+    ProbeIncarnation(mCore, life, mUpstreamAddress);
   }
 }
 
 void
-Exchange::OnBroken(const LinkFailure& aFailure)
+Exchange::OnConnectionFailed(const ConnectionFailure& aFailure)
 {
-  WitnessBreak(aFailure);
-  EndSend(SendResult::kBroken);
+  RecordConnectionLoss(aFailure);
+  EndAttempt(SendResult::kBroken);
   mCore.mLogger.Log(EventId::kRequestRetried,
                     { { "request", mId },
                       { "content", ToText(mContent) },
@@ -262,14 +262,14 @@
                       { "begun", mBegun } });
   if (!aFailure.mMayHaveBeenSent) {
     ++mRefusals;
-    Follow(AfterNotRun(Facts()),
-           "upstreams can't be reached",
-           CounterId::kRetryConnectionBroken);
+    ApplyNextStep(AfterNotRun(Facts()),
+                  "upstreams can't be reached",
+                  CounterId::kRetryConnectionBroken);
     return;
   }
   ++mRuns;
-  Follow(AfterLost(Facts()),
-         "the upstream's answer was lost",
-         CounterId::kRetryConnectionBroken);
+  ApplyNextStep(AfterLost(Facts()),
+                "the upstream's answer was lost",
+                CounterId::kRetryConnectionBroken);
 }
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -16,8 +16,8 @@
 using observe::CounterId;
 
 /** Another entry is as good at once. */
-constexpr double kComeBackElsewhere = 0.05;
-constexpr double kComeBackLater = 1.0;
+constexpr double kStoppingRetryAfterSeconds = 0.05;
+constexpr double kNoSettingsRetryAfterSeconds = 1.0;
 
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kNotFound = 404;
@@ -25,27 +25,28 @@
 
 } // namespace
 
-// Returns true iff the exchange waits for what the process lacks yet: GoOn
-// follows when something has come, or the wait is over.
+// Returns true iff the exchange waits for what the process lacks yet:
+// ResumeAfterStartup follows when something has come, or the wait is over.
 bool
-Exchange::WaitForStart()
+Exchange::WaitForStartup()
 {
   const TimePoint now = mCore.mNow();
-  const auto wait =
-    mCore.mRefusing ? std::nullopt : mCore.mStartPlan.MayWait(mArrivedAt, now);
+  const auto wait = mCore.mRefusing
+                      ? std::nullopt
+                      : mCore.mStartupPolicy.RemainingWait(mArrivedAt, now);
   if (!wait) {
     return false;
   }
   const std::weak_ptr<Exchange> weak = weak_from_this();
   const auto goOn = [weak] {
-    if (const auto self = weak.lock(); self && self->mWaitsForStart) {
-      self->GoOn();
+    if (const auto self = weak.lock(); self && self->mWaitingForStartup) {
+      self->ResumeAfterStartup();
     }
   };
-  mWaitsForStart = true;
-  mCore.mStarting.emplace_back(goOn);
-  mSlowTimer.expires_after(*wait);
-  mSlowTimer.async_wait([goOn](http::ErrorCode aError) {
+  mWaitingForStartup = true;
+  mCore.mStartupWaiters.emplace_back(goOn);
+  mWaitTimer.expires_after(*wait);
+  mWaitTimer.async_wait([goOn](http::ErrorCode aError) {
     if (!aError) {
       goOn();
     }
@@ -54,10 +55,10 @@
 }
 
 void
-Exchange::GoOn()
+Exchange::ResumeAfterStartup()
 {
-  mWaitsForStart = false;
-  mSlowTimer.cancel();
+  mWaitingForStartup = false;
+  mWaitTimer.cancel();
   if (mTable) {
     Dispatch();
   } else {
@@ -69,7 +70,7 @@
 void
 Exchange::Start()
 {
-  if ((!mTable && WaitForStart()) || !Admit()) {
+  if ((!mTable && WaitForStartup()) || !Admit()) {
     return;
   }
   Duration wait = mRoute->mTimeout;
@@ -92,7 +93,7 @@
       self->OnTimeout();
     }
   });
-  AskQuota();
+  RequestQuota();
 }
 
 bool
@@ -100,31 +101,32 @@
 {
   if (!mTable) {
     mCore.mCounters.Add(CounterId::kRefusedNotConfirmed);
-    AnswerOwn(kUnavailable, "no settings yet", kComeBackLater);
+    SendLocalResponse(
+      kUnavailable, "no settings yet", kNoSettingsRetryAfterSeconds);
     return false;
   }
   if (mCore.mRefusing || OutlivesProcess()) {
     mCore.mCounters.Add(CounterId::kRefusedDraining);
-    AnswerOwn(kUnavailable, "stopping", kComeBackElsewhere);
+    SendLocalResponse(kUnavailable, "stopping", kStoppingRetryAfterSeconds);
     return false;
   }
   mRoute = mTable->Find(FieldOf(mRequest.mFields, "host"), mRequest.Path());
   if (mRoute == nullptr) {
     mCore.mCounters.Add(CounterId::kRefusedUnknownService);
-    AnswerOwn(kNotFound, "no route");
+    SendLocalResponse(kNotFound, "no route");
     return false;
   }
   if (mTable->HasCustomers()) {
-    mCustomer =
-      mTable->CustomerOf(BearerOf(FieldOf(mRequest.mFields, "authorization")));
+    mCustomer = mTable->CustomerOf(
+      BearerToken(FieldOf(mRequest.mFields, "authorization")));
     if (mCustomer == nullptr && !mRoute->mPublic) {
       mCore.mCounters.Add(CounterId::kRefusedWrongKey);
-      AnswerOwn(kUnauthorized, "unknown key");
+      SendLocalResponse(kUnauthorized, "unknown key");
       return false;
     }
   }
   if (mRoute->mSticky) {
-    mQuestion.mPrompt =
+    mSelectionQuery.mPrompt =
       ReadPromptParts(FieldOf(mRequest.mFields, mCore.mNames.mPrefix));
   }
   return true;
@@ -135,8 +137,8 @@
 {
   const auto counts =
     ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
-  return mCore.mStopPlan && counts &&
-         !mCore.mStopPlan->MayTake(LongestTime(*counts), mCore.mNow());
+  return mCore.mShutdownPolicy && counts &&
+         !mCore.mShutdownPolicy->MayAccept(LongestTime(*counts), mCore.mNow());
 }
 
 void
@@ -148,8 +150,8 @@
   }
   // A checked table has no route without weight.
   PERIDOTSPOOL_INVARIANT(total > 0);
-  mQuestion.mSeed = XXH3_64bits(mId.data(), mId.size());
-  std::uint64_t place = mQuestion.mSeed % total;
+  mSelectionQuery.mSeed = XXH3_64bits(mId.data(), mId.size());
+  std::uint64_t place = mSelectionQuery.mSeed % total;
   for (const ServiceShare& share : mRoute->mShares) {
     if (place < share.mWeight) {
       mService = share.mService;
@@ -157,6 +159,6 @@
     }
     place -= share.mWeight;
   }
-  mQuestion.mService = mService;
+  mSelectionQuery.mService = mService;
 }
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeVersion.cpp
+++ b/src/gateway/ExchangeVersion.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /** Fewer gaps between a stream's events say nothing of its pace. */
-constexpr std::uint64_t kLeastGaps = 3;
+constexpr std::uint64_t kMinGaps = 3;
 /** A caller that left after so many times the objective waited in vain. */
-constexpr int kOverlongTimes = 2;
+constexpr int kOverdueFactor = 2;
 
 double
 RatioOf(Duration aOne, Duration aOther)
@@ -26,7 +26,7 @@
 void
 Exchange::ChooseVersion()
 {
-  if (mQuestion.mLooksFurther) {
+  if (mSelectionQuery.mLooksFurther) {
     return;
   }
   const TimePoint now = mCore.mNow();
@@ -34,14 +34,14 @@
   const bool isFirst = mRuns == 0 && mRefusals == 0;
   const auto choice =
     isFirst ? mCore.mRollouts.ChooseFirst(
-                mService, mRoute->mName, mQuestion.mSeed, ready, now)
+                mService, mRoute->mName, mSelectionQuery.mSeed, ready, now)
             : mCore.mRollouts.ChooseRepeat(mService, ready, now);
-  mQuestion.mVersions = choice.mFilter;
+  mSelectionQuery.mVersions = choice.mFilter;
   mVersionReason = choice.mReason;
 }
 
 rollout::VersionAnswer
-Exchange::VersionAnswerOf(bool aFailed) const
+Exchange::MakeVersionAnswer(bool aFailed) const
 {
   return { .mService = mService,
            .mVersion = mVersion,
@@ -57,21 +57,21 @@
 // of which an engine that has just started keeps nothing: it is compared with
 // the time that the whole prompt takes to read.
 void
-Exchange::NoteVersion(bool aFailed)
+Exchange::RecordVersionAnswer(bool aFailed)
 {
   if (aFailed && mCore.mRollouts.IsTrying(mService, mVersion)) {
     mCore.mCounters.Add(observe::CounterId::kNewVersionFailed);
   }
-  rollout::VersionAnswer answer = VersionAnswerOf(aFailed);
+  rollout::VersionAnswer answer = MakeVersionAnswer(aFailed);
   if (!mIsStream) {
     answer.mPace = mCore.mNow() - mSent.mSentAt;
-  } else if (mPieces > 0) {
-    answer.mFirst =
-      RatioOf(mFirstPieceAt - mSent.mSentAt,
-              mCore.mBoard.TimeToRead(mService, mQuestion.mPrompt.Tokens()));
-    if (mPieces > kLeastGaps) {
-      answer.mPace = (mLastEventAt - mFirstPieceAt) /
-                     static_cast<Duration::rep>(mPieces - 1);
+  } else if (mEventBatches > 0) {
+    answer.mFirst = RatioOf(
+      mFirstBatchAt - mSent.mSentAt,
+      mCore.mBoard.TimeToRead(mService, mSelectionQuery.mPrompt.Tokens()));
+    if (mEventBatches > kMinGaps) {
+      answer.mPace = (mLastEventAt - mFirstBatchAt) /
+                     static_cast<Duration::rep>(mEventBatches - 1);
     }
   }
   mCore.mRollouts.NoteAnswer(answer);
@@ -79,18 +79,19 @@
 
 // An answer that doesn't come is as slow as it was waited for.
 void
-Exchange::NoteOverlong()
+Exchange::RecordOverdueAnswer()
 {
   const Duration waited = mCore.mNow() - mSent.mSentAt;
-  if (waited < kOverlongTimes * mRoute->mTargetLatency) {
+  if (waited < kOverdueFactor * mRoute->mTargetLatency) {
     return;
   }
-  rollout::VersionAnswer answer = VersionAnswerOf(false);
+  rollout::VersionAnswer answer = MakeVersionAnswer(false);
   if (mRoute->mKind != RequestKind::kStreaming) {
     answer.mPace = waited;
-  } else if (mPieces == 0) {
+  } else if (mEventBatches == 0) {
     answer.mFirst = RatioOf(
-      waited, mCore.mBoard.TimeToRead(mService, mQuestion.mPrompt.Tokens()));
+      waited,
+      mCore.mBoard.TimeToRead(mService, mSelectionQuery.mPrompt.Tokens()));
   }
   mCore.mRollouts.NoteAnswer(answer);
 }
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -68,27 +68,29 @@
         });
         return;
       }
-      if (mLinks.size() < mOptions.mMaxConnections) {
-        auto link = std::make_shared<CallerLink>(std::move(aSocket), *this);
-        mLinks.emplace(link.get(), link);
-        link->Run();
+      if (mConnections.size() < mOptions.mMaxConnections) {
+        auto connection =
+          std::make_shared<CallerConnection>(std::move(aSocket), *this);
+        mConnections.emplace(connection.get(), connection);
+        connection->Run();
       }
       Accept();
     });
 }
 
 void
-Gateway::OnRequest(const std::shared_ptr<CallerLink>& aLink,
+Gateway::OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                    CallerRequest aRequest)
 {
-  auto exchange = std::make_shared<Exchange>(mCore, aLink, std::move(aRequest));
-  CallerLink* const link = aLink.get();
-  mExchanges[link] = exchange;
-  exchange->OnOver([this, link, weak = std::weak_ptr(exchange)] {
-    // Not at once: the exchange is still running. The link may have begun its
-    // next one by then.
-    net::post(mCore.mIo, [this, link, exchange = weak.lock()] {
-      const auto found = mExchanges.find(link);
+  auto exchange =
+    std::make_shared<Exchange>(mCore, aConnection, std::move(aRequest));
+  CallerConnection* const connection = aConnection.get();
+  mExchanges[connection] = exchange;
+  exchange->SetOnEnded([this, connection, weak = std::weak_ptr(exchange)] {
+    // Not at once: the exchange is still running. The connection may have begun
+    // its next one by then.
+    net::post(mCore.mIo, [this, connection, exchange = weak.lock()] {
+      const auto found = mExchanges.find(connection);
       if (found != mExchanges.end() && found->second == exchange) {
         mExchanges.erase(found);
       }
@@ -98,9 +100,9 @@
 }
 
 void
-Gateway::OnGone(CallerLink& aLink)
+Gateway::OnDisconnected(CallerConnection& aConnection)
 {
-  const auto found = mExchanges.find(&aLink);
+  const auto found = mExchanges.find(&aConnection);
   if (found != mExchanges.end()) {
     const auto exchange = found->second;
     exchange->Cancel();
@@ -108,12 +110,12 @@
 }
 
 void
-Gateway::OnClosed(CallerLink& aLink)
+Gateway::OnClosed(CallerConnection& aConnection)
 {
-  const auto found = mLinks.find(&aLink);
-  if (found != mLinks.end()) {
-    net::post(mCore.mIo, [link = found->second] { (void)link; });
-    mLinks.erase(found);
+  const auto found = mConnections.find(&aConnection);
+  if (found != mConnections.end()) {
+    net::post(mCore.mIo, [connection = found->second] { (void)connection; });
+    mConnections.erase(found);
   }
 }
 
@@ -139,13 +141,13 @@
     return;
   }
   mSweptAt = aNow;
-  std::vector<std::shared_ptr<CallerLink>> links;
-  links.reserve(mLinks.size());
-  for (const auto& [key, link] : mLinks) {
-    links.push_back(link);
+  std::vector<std::shared_ptr<CallerConnection>> connections;
+  connections.reserve(mConnections.size());
+  for (const auto& [key, connection] : mConnections) {
+    connections.push_back(connection);
   }
-  for (const auto& link : links) {
-    link->Sweep(aNow);
+  for (const auto& connection : connections) {
+    connection->Sweep(aNow);
   }
   mCore.mPool.Sweep(aNow);
 }
@@ -156,9 +158,10 @@
 Gateway::IsQuiet() const
 {
   return mExchanges.empty() &&
-         std::all_of(mLinks.begin(), mLinks.end(), [](const auto& aPair) {
-           return aPair.second->QueuedBytes() == 0;
-         });
+         std::all_of(
+           mConnections.begin(), mConnections.end(), [](const auto& aPair) {
+             return aPair.second->QueuedBytes() == 0;
+           });
 }
 
 void
@@ -171,14 +174,14 @@
 void
 Gateway::CloseIdle()
 {
-  std::vector<std::shared_ptr<CallerLink>> links;
-  for (const auto& [key, link] : mLinks) {
-    if (link->IsIdle()) {
-      links.push_back(link);
+  std::vector<std::shared_ptr<CallerConnection>> connections;
+  for (const auto& [key, connection] : mConnections) {
+    if (connection->IsIdle()) {
+      connections.push_back(connection);
     }
   }
-  for (const auto& link : links) {
-    link->Abort();
+  for (const auto& connection : connections) {
+    connection->Abort();
   }
 }
 
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/CallerLink.h"
+#include "gateway/CallerConnection.h"
 #include "gateway/Exchange.h"
 #include "gateway/GatewayCore.h"
 
@@ -21,7 +21,7 @@
  * Takes callers' connections and starts an exchange for each request. Lives on
  * the relay thread.
  */
-class Gateway : public CallerLinkOwner
+class Gateway : public CallerConnectionOwner
 {
 public:
   Gateway(GatewayCore& aCore, GatewayOptions aOptions);
@@ -37,12 +37,12 @@
   /** No request is served, and callers were sent all that they are owed. */
   bool IsQuiet() const;
   std::size_t Exchanges() const { return mExchanges.size(); }
-  std::size_t Connections() const { return mLinks.size(); }
+  std::size_t Connections() const { return mConnections.size(); }
 
-  void OnRequest(const std::shared_ptr<CallerLink>& aLink,
+  void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerRequest aRequest) override;
-  void OnGone(CallerLink& aLink) override;
-  void OnClosed(CallerLink& aLink) override;
+  void OnDisconnected(CallerConnection& aConnection) override;
+  void OnClosed(CallerConnection& aConnection) override;
   void OnMalformed(unsigned aStatus, const std::string& aReason) override;
   CallerLimits Limits() const override;
   TimePoint Now() const override { return mCore.mNow(); }
@@ -54,8 +54,9 @@
   GatewayOptions mOptions;
   http::Tcp::acceptor mAcceptor;
   http::net::steady_timer mAcceptTimer;
-  std::unordered_map<CallerLink*, std::shared_ptr<CallerLink>> mLinks;
-  std::unordered_map<CallerLink*, std::shared_ptr<Exchange>> mExchanges;
+  std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
+    mConnections;
+  std::unordered_map<CallerConnection*, std::shared_ptr<Exchange>> mExchanges;
   TimePoint mSweptAt;
 };
 
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 /** Contents named in one log line. */
-constexpr std::size_t kMostNamed = 8;
+constexpr std::size_t kMaxLoggedContents = 8;
 /** Contents named in one report; the others' turn comes with the next. */
-constexpr std::size_t kMostCameAgain = 16;
+constexpr std::size_t kMaxResubmitted = 16;
 
 std::string
 ContentsOf(const routing::EndedLife& aEnded)
 {
   std::string text;
-  const std::size_t named = std::min(kMostNamed, aEnded.mLost.size());
+  const std::size_t named = std::min(kMaxLoggedContents, aEnded.mLost.size());
   for (std::size_t i = 0; i < named; ++i) {
     text += (i == 0 ? "" : ",") + ToText(aEnded.mLost[i].mContent);
   }
@@ -25,15 +25,15 @@
 } // namespace
 
 void
-GatewayCore::NoteRefused(const routing::UpstreamLife& aLife)
+GatewayCore::OnConnectionRefused(const routing::UpstreamLife& aLife)
 {
   if (const auto ended = mWitness.Refused(aLife, mNow())) {
-    NoteEnded(*ended);
+    OnUpstreamEnded(*ended);
   }
 }
 
 void
-GatewayCore::NoteEnded(const routing::EndedLife& aEnded)
+GatewayCore::OnUpstreamEnded(const routing::EndedLife& aEnded)
 {
   mCounters.Add(observe::CounterId::kUpstreamEnded);
   mLogger.Log(
@@ -46,22 +46,22 @@
       { "lost", aEnded.mLost.size() },
       { "contents", ContentsOf(aEnded) } });
   mCrashes.Add(aEnded);
-  TellCrashes();
+  ReportCrashes();
 }
 
 void
-GatewayCore::NoteCameAgain(const ContentId& aContent)
+GatewayCore::RecordResubmitted(const ContentId& aContent)
 {
-  if (mCameAgain.size() < kMostCameAgain) {
+  if (mCameAgain.size() < kMaxResubmitted) {
     mCameAgain.insert(aContent);
   }
 }
 
 void
-GatewayCore::TellCrashes()
+GatewayCore::ReportCrashes()
 {
   if (auto report = mCrashes.Report(mNow())) {
-    mTellLeader(std::move(*report));
+    mSendToLeader(std::move(*report));
   }
 }
 
@@ -69,26 +69,26 @@
 GatewayCore::TickGate()
 {
   mCrashes.Forget(mNow());
-  TellCrashes();
-  CarryOut(mGate.Tick(mNow()));
+  ReportCrashes();
+  ApplyGateTick(mGate.Tick(mNow()));
 }
 
 void
-GatewayCore::CarryOut(const routing::GateTick& aTick)
+GatewayCore::ApplyGateTick(const routing::GateTick& aTick)
 {
   for (const routing::TurnAsk& ask : aTick.mAsks) {
-    mTellLeader(ask);
+    mSendToLeader(ask);
   }
   for (const routing::TurnEnded& ended : aTick.mEnded) {
-    mTellLeader(ended);
+    mSendToLeader(ended);
   }
   for (const routing::GateDecided& decided : aTick.mDecided) {
-    Decide(decided);
+    HandleGateDecision(decided);
   }
 }
 
 void
-GatewayCore::TakeTold(const routing::QuarantineTold& aTold)
+GatewayCore::HandleQuarantineUpdate(const routing::QuarantineTold& aTold)
 {
   const std::uint64_t before = mGate.Known();
   const routing::GateTick tick = mGate.Take(aTold, mNow());
@@ -100,12 +100,12 @@
                   { "changed", aTold.mLines.size() },
                   { "listed", mGate.Listed() } });
   }
-  CarryOut(tick);
-  WakeStarting();
+  ApplyGateTick(tick);
+  ResumeStartupWaiters();
 }
 
 void
-GatewayCore::Take(const rollout::RolloutUpdate& aUpdate)
+GatewayCore::HandleRolloutUpdate(const rollout::RolloutUpdate& aUpdate)
 {
   const std::uint64_t before = mRollouts.Number();
   mRollouts.Take(aUpdate, mNow());
@@ -115,24 +115,24 @@
                   { "services", aUpdate.mServices.size() },
                   { "running", mRollouts.HasRunning() } });
   }
-  WakeStarting();
+  ResumeStartupWaiters();
 }
 
 void
-GatewayCore::TakeTurn(const routing::TurnAnswer& aAnswer)
+GatewayCore::HandlePermitResponse(const routing::TurnAnswer& aAnswer)
 {
   if (const auto decided = mGate.Take(aAnswer)) {
-    Decide(*decided);
+    HandleGateDecision(*decided);
   }
 }
 
 void
-GatewayCore::Decide(const routing::GateDecided& aDecided)
+GatewayCore::HandleGateDecision(const routing::GateDecided& aDecided)
 {
-  const auto waiting = mAtGate.find(aDecided.mTag);
-  if (waiting != mAtGate.end()) {
+  const auto waiting = mGateWaiters.find(aDecided.mTag);
+  if (waiting != mGateWaiters.end()) {
     const auto call = std::move(waiting->second);
-    mAtGate.erase(waiting);
+    mGateWaiters.erase(waiting);
     call(aDecided.mOutcome);
   }
 }
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/UpstreamPool.h"
+#include "gateway/UpstreamConnectionPool.h"
 #include "http/BeastTypes.h"
 #include "peridotspool/base/Time.h"
 #include "peridotspool/gateway/HeaderNames.h"
@@ -10,8 +10,8 @@
 #include "peridotspool/gateway/QuotaGate.h"
 #include "peridotspool/gateway/RepeatBudget.h"
 #include "peridotspool/gateway/RouteTable.h"
-#include "peridotspool/gateway/StartPlan.h"
-#include "peridotspool/gateway/StopPlan.h"
+#include "peridotspool/gateway/ShutdownPolicy.h"
+#include "peridotspool/gateway/StartupPolicy.h"
 #include "peridotspool/gateway/UpstreamBoard.h"
 #include "peridotspool/gateway/UsageTally.h"
 #include "peridotspool/observe/Counters.h"
@@ -33,11 +33,11 @@
 namespace peridotspool::gateway {
 
 /** How an exchange goes on that waits for keepers' word. */
-struct AskingExchange
+struct LoadWaiter
 {
   /** Takes what a keeper knows of one upstream. */
-  std::function<void(const LoadLine&)> mTake;
-  std::function<void()> mGoOn;
+  std::function<void(const LoadLine&)> mOnLoad;
+  std::function<void()> mResume;
 };
 
 /** What all exchanges of one entry share; lives on the relay thread. */
@@ -47,38 +47,38 @@
   HeaderNames mNames;
   UpstreamBoard mBoard;
   RepeatBudget mBudget;
-  UpstreamPool mPool;
+  UpstreamConnectionPool mPool;
   observe::Logger& mLogger;
   observe::Counters& mCounters;
   std::function<TimePoint()> mNow;
   QuotaGate mQuota;
   UsageTally mUsage;
   /** Sends to the leader; dropped where none is known. */
-  std::function<void(SharedMessage)> mTellLeader;
+  std::function<void(SharedMessage)> mSendToLeader;
   KeeperMap mKeepers;
   /** The upstreams that this entry keeps account of. */
-  LoadKeeper mKeeper;
-  LoadInquiries mInquiries;
+  LoadKeeper mCoordinator;
+  LoadInquiries mLoadQueries;
   /** Sends to another entry; what is for this one is taken at once. */
-  std::function<void(const Address&, SharedMessage)> mTellEntry;
+  std::function<void(const Address&, SharedMessage)> mSendToEntry;
   /** Distinguishes the sends of this process from those of others. */
-  std::uint64_t mLastSend = 0;
+  std::uint64_t mLastSendId = 0;
   /** The own time of day, in microseconds. */
-  std::function<std::int64_t()> mWall;
+  std::function<std::int64_t()> mWallClock;
   /** Exchanges that wait for the leader's word, by the gate's tag. */
   std::unordered_map<std::uint64_t, std::function<void(const QuotaDecided&)>>
-    mWaiting;
+    mQuotaWaiters;
   /** Exchanges that wait for keepers' word, by the inquiry's tag. */
-  std::unordered_map<std::uint64_t, AskingExchange> mAsking;
-  StartPlan mStartPlan;
+  std::unordered_map<std::uint64_t, LoadWaiter> mLoadWaiters;
+  StartupPolicy mStartupPolicy;
   /** Goes on with the exchanges that wait for settings or an upstream. */
-  std::vector<std::function<void()>> mStarting;
+  std::vector<std::function<void()>> mStartupWaiters;
   /** Null until the first settings have come. */
   std::shared_ptr<const RouteTable> mTable;
   /** The process was told to stop: answers end their connections. */
   bool mStopping = false;
   /** Set once it was told to. */
-  std::optional<StopPlan> mStopPlan;
+  std::optional<ShutdownPolicy> mShutdownPolicy;
   /** Requests are refused: the process is about to end. */
   bool mRefusing = false;
   routing::CrashWitness mWitness;
@@ -86,47 +86,47 @@
   routing::QuarantineGate mGate;
   /** Exchanges that wait at the gate, by its tag. */
   std::unordered_map<std::uint64_t, std::function<void(routing::GateOutcome)>>
-    mAtGate;
+    mGateWaiters;
   /** Contents refused since the last report to the leader. */
   std::set<ContentId> mCameAgain;
   rollout::RolloutGate mRollouts;
 
   /** A keeper has answered. */
-  void TakeTold(const LoadTold& aTold)
+  void HandleLoadResponse(const LoadTold& aTold)
   {
-    const auto asking = mAsking.find(aTold.mTag);
+    const auto asking = mLoadWaiters.find(aTold.mTag);
     for (const LoadLine& line : aTold.mLines) {
       mBoard.TakeKept(line, mNow());
-      if (asking != mAsking.end()) {
-        asking->second.mTake(line);
+      if (asking != mLoadWaiters.end()) {
+        asking->second.mOnLoad(line);
       }
     }
-    if (mInquiries.Take(aTold) && asking != mAsking.end()) {
-      const auto goOn = std::move(asking->second.mGoOn);
-      mAsking.erase(asking);
+    if (mLoadQueries.Take(aTold) && asking != mLoadWaiters.end()) {
+      const auto goOn = std::move(asking->second.mResume);
+      mLoadWaiters.erase(asking);
       goOn();
     }
   }
 
   /** Nobody listens any more where a life of an upstream did. */
-  void NoteRefused(const routing::UpstreamLife& aLife);
-  void NoteEnded(const routing::EndedLife& aEnded);
+  void OnConnectionRefused(const routing::UpstreamLife& aLife);
+  void OnUpstreamEnded(const routing::EndedLife& aEnded);
   /** A request of a content that isn't run any more was refused. */
-  void NoteCameAgain(const ContentId& aContent);
+  void RecordResubmitted(const ContentId& aContent);
   /** Tells the leader which ends it hasn't heard of. */
-  void TellCrashes();
+  void ReportCrashes();
   /** About every 50 ms. */
   void TickGate();
-  void TakeTold(const routing::QuarantineTold& aTold);
-  void Take(const rollout::RolloutUpdate& aUpdate);
-  void TakeTurn(const routing::TurnAnswer& aAnswer);
-  void Decide(const routing::GateDecided& aDecided);
-  void CarryOut(const routing::GateTick& aTick);
+  void HandleQuarantineUpdate(const routing::QuarantineTold& aTold);
+  void HandleRolloutUpdate(const rollout::RolloutUpdate& aUpdate);
+  void HandlePermitResponse(const routing::TurnAnswer& aAnswer);
+  void HandleGateDecision(const routing::GateDecided& aDecided);
+  void ApplyGateTick(const routing::GateTick& aTick);
 
   /** Something that a starting process lacked has come. */
-  void WakeStarting()
+  void ResumeStartupWaiters()
   {
-    for (const auto& goOn : std::exchange(mStarting, {})) {
+    for (const auto& goOn : std::exchange(mStartupWaiters, {})) {
       goOn();
     }
   }
--- a/src/gateway/HeaderRules.cpp
+++ b/src/gateway/HeaderRules.cpp
@@ -37,7 +37,7 @@
 
 /** Fields that the gateway sets or drops in a request to an upstream. */
 bool
-IsOurs(std::string_view aName, const HeaderNames& aNames)
+IsSetByGateway(std::string_view aName, const HeaderNames& aNames)
 {
   const std::array<std::string_view, 9> ours{
     "content-length",  "authorization",
@@ -47,7 +47,7 @@
     aNames.mFetchFrom,
   };
   const auto same = [&](std::string_view aOne) {
-    return SameName(aOne, aName);
+    return EqualsIgnoreCase(aOne, aName);
   };
   return std::any_of(ours.begin(), ours.end(), same) ||
          std::any_of(aNames.mReserved.begin(), aNames.mReserved.end(), same);
@@ -85,7 +85,7 @@
 } // namespace
 
 bool
-SameName(std::string_view aLeft, std::string_view aRight)
+EqualsIgnoreCase(std::string_view aLeft, std::string_view aRight)
 {
   return aLeft.size() == aRight.size() &&
          std::equal(aLeft.begin(),
@@ -100,7 +100,7 @@
 FieldOf(const FieldList& aFields, std::string_view aName)
 {
   for (const auto& [name, value] : aFields) {
-    if (SameName(name, aName)) {
+    if (EqualsIgnoreCase(name, aName)) {
       return value;
     }
   }
@@ -111,13 +111,13 @@
 IsHopByHop(std::string_view aName, std::string_view aConnection)
 {
   if (std::any_of(kHopByHop.begin(), kHopByHop.end(), [&](auto aOne) {
-        return SameName(aOne, aName);
+        return EqualsIgnoreCase(aOne, aName);
       })) {
     return true;
   }
   while (!aConnection.empty()) {
     const std::size_t comma = aConnection.find(',');
-    if (SameName(Trimmed(aConnection.substr(0, comma)), aName)) {
+    if (EqualsIgnoreCase(Trimmed(aConnection.substr(0, comma)), aName)) {
       return true;
     }
     aConnection = comma == std::string_view::npos
@@ -128,9 +128,9 @@
 }
 
 std::string
-WriteForward(const CallerRequest& aRequest,
-             const HeaderNames& aNames,
-             const ForwardTerms& aTerms)
+WriteUpstreamRequest(const CallerRequest& aRequest,
+                     const HeaderNames& aNames,
+                     const UpstreamRequestFields& aTerms)
 {
   std::string text;
   text.reserve(1024 + aRequest.mBody.size());
@@ -139,8 +139,9 @@
   const std::string_view connection = FieldOf(aRequest.mFields, "connection");
   for (const auto& [name, value] : aRequest.mFields) {
     const bool replaced =
-      !aTerms.mLastEvent.empty() && SameName(name, aNames.mLastEvent);
-    if (!replaced && !IsHopByHop(name, connection) && !IsOurs(name, aNames)) {
+      !aTerms.mLastEvent.empty() && EqualsIgnoreCase(name, aNames.mLastEvent);
+    if (!replaced && !IsHopByHop(name, connection) &&
+        !IsSetByGateway(name, aNames)) {
       AppendField(text, name, value);
     }
   }
@@ -170,15 +171,16 @@
 }
 
 std::string
-WriteAnswerHead(const UpstreamHead& aHead,
-                std::optional<std::uint64_t> aLength,
-                bool aKeepAlive)
+WriteResponseHead(const ResponseHead& aHead,
+                  std::optional<std::uint64_t> aLength,
+                  bool aKeepAlive)
 {
   std::string text =
     "HTTP/1.1 " + std::to_string(aHead.mStatus) + " " + aHead.mReason + "\r\n";
   const std::string_view connection = FieldOf(aHead.mFields, "connection");
   for (const auto& [name, value] : aHead.mFields) {
-    if (!IsHopByHop(name, connection) && !SameName(name, "content-length")) {
+    if (!IsHopByHop(name, connection) &&
+        !EqualsIgnoreCase(name, "content-length")) {
       AppendField(text, name, value);
     }
   }
@@ -194,10 +196,10 @@
 }
 
 std::string
-WriteOwnAnswer(const OwnAnswer& aAnswer,
-               std::string_view aRequestIdName,
-               std::string_view aRequestId,
-               bool aKeepAlive)
+WriteLocalResponse(const LocalResponse& aAnswer,
+                   std::string_view aRequestIdName,
+                   std::string_view aRequestId,
+                   bool aKeepAlive)
 {
   const std::string body = R"({"reason":")" + aAnswer.mReason + "\"}";
   std::string text = "HTTP/1.1 " + std::to_string(aAnswer.mStatus) + " " +
@@ -218,11 +220,11 @@
 }
 
 std::string_view
-BearerOf(std::string_view aAuthorization)
+BearerToken(std::string_view aAuthorization)
 {
   constexpr std::string_view kScheme = "bearer ";
   if (aAuthorization.size() <= kScheme.size() ||
-      !SameName(aAuthorization.substr(0, kScheme.size()), kScheme)) {
+      !EqualsIgnoreCase(aAuthorization.substr(0, kScheme.size()), kScheme)) {
     return {};
   }
   return Trimmed(aAuthorization.substr(kScheme.size()));
--- a/src/gateway/LifeProbe.cpp
+++ b/src/gateway/IncarnationProbe.cpp
@@ -1,4 +1,4 @@
-#include "gateway/LifeProbe.h"
+#include "gateway/IncarnationProbe.h"
 
 #include <boost/asio/ip/address.hpp>
 
@@ -11,7 +11,7 @@
 namespace net = http::net;
 
 /** A process that is gone refuses at once; silence shows nothing. */
-constexpr Duration kPatience = std::chrono::milliseconds(500);
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
 struct Probe
 {
@@ -28,9 +28,9 @@
 } // namespace
 
 void
-ProbeLife(GatewayCore& aCore,
-          const routing::UpstreamLife& aLife,
-          const Address& aAddress)
+ProbeIncarnation(GatewayCore& aCore,
+                 const routing::UpstreamLife& aLife,
+                 const Address& aAddress)
 {
   http::ErrorCode error;
   const auto host = net::ip::make_address(aAddress.mHost, error);
@@ -38,7 +38,7 @@
     return;
   }
   const auto probe = std::make_shared<Probe>(aCore.mIo);
-  probe->mTimer.expires_after(kPatience);
+  probe->mTimer.expires_after(kProbeTimeout);
   probe->mTimer.async_wait([probe](http::ErrorCode aError) {
     if (!aError) {
       http::ErrorCode ignored;
@@ -52,7 +52,7 @@
       if (!aError) {
         aCore.mWitness.Accepted(life);
       } else if (aError == net::error::connection_refused) {
-        aCore.NoteRefused(life);
+        aCore.OnConnectionRefused(life);
       }
     });
 }
--- a/src/gateway/LifeProbe.h
+++ b/src/gateway/IncarnationProbe.h
@@ -11,8 +11,8 @@
  * tells the witness whether anybody listens there. Nothing is sent on it.
  */
 void
-ProbeLife(GatewayCore& aCore,
-          const routing::UpstreamLife& aLife,
-          const Address& aAddress);
+ProbeIncarnation(GatewayCore& aCore,
+                 const routing::UpstreamLife& aLife,
+                 const Address& aAddress);
 
 } // namespace peridotspool::gateway
--- a/src/gateway/RouteTable.cpp
+++ b/src/gateway/RouteTable.cpp
@@ -8,7 +8,7 @@
 namespace peridotspool::gateway {
 
 std::string
-NormalHost(std::string_view aHost)
+NormalizeHost(std::string_view aHost)
 {
   const std::size_t colon = aHost.rfind(':');
   std::string host(aHost.substr(0, colon));
@@ -41,7 +41,7 @@
 {
   for (std::size_t i = 0; i < mSource.mRoutes.size(); ++i) {
     Route& route = mSource.mRoutes[i];
-    route.mHost = NormalHost(route.mHost);
+    route.mHost = NormalizeHost(route.mHost);
     const std::string named = "route " + route.mName;
     if (route.mTimeout <= Duration(0)) {
       aReason.Set(named + ": the timeout is 0");
@@ -108,7 +108,7 @@
 const Route*
 RouteTable::Find(std::string_view aHost, std::string_view aPath) const
 {
-  const auto host = mRoutesByHost.find(NormalHost(aHost));
+  const auto host = mRoutesByHost.find(NormalizeHost(aHost));
   if (host == mRoutesByHost.end()) {
     return nullptr;
   }
--- a/src/gateway/SocketOptions.cpp
+++ b/src/gateway/SocketOptions.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** Sent bytes that stay unconfirmed for this long end a connection. */
-constexpr int kUnconfirmedMs = 4000;
+constexpr int kUnacknowledgedTimeoutMs = 4000;
 
 } // namespace
 
@@ -17,7 +17,7 @@
 {
   http::ErrorCode ignored;
   aSocket.set_option(http::Tcp::no_delay(true), ignored);
-  const int value = kUnconfirmedMs;
+  const int value = kUnacknowledgedTimeoutMs;
   ::setsockopt(aSocket.native_handle(),
                IPPROTO_TCP,
                TCP_USER_TIMEOUT,
@@ -26,7 +26,7 @@
 }
 
 bool
-HasEnded(http::Tcp::socket& aSocket)
+HasEofOrData(http::Tcp::socket& aSocket)
 {
   char byte = 0;
   const auto got =
--- a/src/gateway/SocketOptions.h
+++ b/src/gateway/SocketOptions.h
@@ -13,6 +13,6 @@
 
 /** Returns true iff the other end has closed, or sent what nobody asked for. */
 bool
-HasEnded(http::Tcp::socket& aSocket);
+HasEofOrData(http::Tcp::socket& aSocket);
 
 } // namespace peridotspool::gateway
--- a/src/gateway/StartPlan.cpp
+++ b/src/gateway/StartupPolicy.cpp
@@ -1,8 +1,9 @@
-#include "peridotspool/gateway/StartPlan.h"
+#include "peridotspool/gateway/StartupPolicy.h"
 
 namespace peridotspool::gateway {
 
-StartPlan::StartPlan(StartPlanOptions aOptions, TimePoint aStartedAt)
+StartupPolicy::StartupPolicy(StartupPolicyOptions aOptions,
+                             TimePoint aStartedAt)
   : mOptions(aOptions)
   , mStartedAt(aStartedAt)
 {
@@ -14,23 +15,25 @@
 // have been served. An entry that has been up for longer and has no settings is
 // cut off, and waiting would only make its refusals late.
 std::optional<Duration>
-StartPlan::MayWait(TimePoint aArrivedAt, TimePoint aNow) const
+StartupPolicy::RemainingWait(TimePoint aArrivedAt, TimePoint aNow) const
 {
   const Duration waited = aNow - aArrivedAt;
-  if (aArrivedAt - mStartedAt >= mOptions.mWithin ||
-      waited >= mOptions.mWaitMost) {
+  if (aArrivedAt - mStartedAt >= mOptions.mStartupPeriod ||
+      waited >= mOptions.mMaxWait) {
     return std::nullopt;
   }
-  return mOptions.mWaitMost - waited;
+  return mOptions.mMaxWait - waited;
 }
 
 void
-StartPlan::TakeNews(std::size_t aHeard, std::size_t aOf, TimePoint aNow)
+StartupPolicy::RecordUpdates(std::size_t aHeard,
+                             std::size_t aOf,
+                             TimePoint aNow)
 {
   if (aHeard > 0) {
-    mFirstNewsAt = mFirstNewsAt.value_or(aNow);
+    mFirstUpdateAt = mFirstUpdateAt.value_or(aNow);
   }
-  mHeardAll = mHeardAll || (aOf > 0 && aHeard >= aOf);
+  mAllReported = mAllReported || (aOf > 0 && aHeard >= aOf);
 }
 
 // Each replica tells of the upstreams that speak to it alone. A process that
@@ -38,10 +41,11 @@
 // that it knew: 12 requests within 50 ms, whose first events came after 1.0 to
 // 2.9 s. The others' words are a few milliseconds behind.
 bool
-StartPlan::KnowsEnough(TimePoint aNow) const
+StartupPolicy::HasEnoughUpdates(TimePoint aNow) const
 {
-  return aNow - mStartedAt >= mOptions.mWithin || mHeardAll ||
-         (mFirstNewsAt && aNow - *mFirstNewsAt >= mOptions.mNewsFor);
+  return aNow - mStartedAt >= mOptions.mStartupPeriod || mAllReported ||
+         (mFirstUpdateAt &&
+          aNow - *mFirstUpdateAt >= mOptions.mUpdateCollectionTime);
 }
 
 } // namespace peridotspool::gateway
--- a/src/gateway/UpstreamLink.cpp
+++ b/src/gateway/UpstreamConnection.cpp
@@ -1,4 +1,4 @@
-#include "gateway/UpstreamLink.h"
+#include "gateway/UpstreamConnection.h"
 
 #include "gateway/SocketOptions.h"
 #include "peridotspool/gateway/HeaderRules.h"
@@ -18,11 +18,11 @@
 constexpr std::size_t kReadBytes = 8U << 10;
 constexpr std::uint32_t kHeaderBytes = 64U << 10;
 /** Late answers to earlier requests that are skipped on one connection. */
-constexpr std::size_t kMostSkipped = 4;
+constexpr std::size_t kMaxSkippedResponses = 4;
 
 /** Reads "timeout=N" of a Keep-Alive field. */
 std::optional<Duration>
-ReadKeepAlive(std::string_view aValue)
+ParseKeepAlive(std::string_view aValue)
 {
   constexpr std::string_view kTimeout = "timeout=";
   const std::size_t place = aValue.find(kTimeout);
@@ -40,7 +40,7 @@
 
 } // namespace
 
-UpstreamLink::UpstreamLink(net::io_context& aIo, UpstreamName aName)
+UpstreamConnection::UpstreamConnection(net::io_context& aIo, UpstreamName aName)
   : mSocket(aIo)
   , mTimer(aIo)
   , mName(std::move(aName))
@@ -48,10 +48,10 @@
 }
 
 void
-UpstreamLink::Open(const Address& aAddress,
-                   Duration aTimeout,
-                   std::string aRequest,
-                   UpstreamListener* aListener)
+UpstreamConnection::Open(const Address& aAddress,
+                         Duration aTimeout,
+                         std::string aRequest,
+                         UpstreamListener* aListener)
 {
   mListener = aListener;
   mRequest = std::move(aRequest);
@@ -59,13 +59,13 @@
   const auto host = net::ip::make_address(aAddress.mHost, error);
   if (error) {
     net::post(mSocket.get_executor(),
-              [self = shared_from_this()] { self->Break("no IP number"); });
+              [self = shared_from_this()] { self->Fail("no IP number"); });
     return;
   }
   mTimer.expires_after(aTimeout);
   mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
     if (!aError) {
-      self->Break("connecting took too long");
+      self->Fail("connecting took too long");
     }
   });
   mSocket.async_connect(http::Tcp::endpoint(host, aAddress.mPort),
@@ -75,14 +75,14 @@
 }
 
 void
-UpstreamLink::OnConnected(http::ErrorCode aError)
+UpstreamConnection::OnConnected(http::ErrorCode aError)
 {
   if (mClosed) {
     return;
   }
   mTimer.cancel();
   if (aError) {
-    Break(aError.message(), aError == net::error::connection_refused);
+    Fail(aError.message(), aError == net::error::connection_refused);
     return;
   }
   SetSocketOptions(mSocket);
@@ -92,7 +92,7 @@
 }
 
 void
-UpstreamLink::Send(std::string aRequest, UpstreamListener* aListener)
+UpstreamConnection::Send(std::string aRequest, UpstreamListener* aListener)
 {
   mListener = aListener;
   mRequest = std::move(aRequest);
@@ -103,13 +103,13 @@
 }
 
 void
-UpstreamLink::StartParser()
+UpstreamConnection::StartParser()
 {
   mParser.emplace();
   mParser->eager(true);
   mParser->header_limit(kHeaderBytes);
   mParser->body_limit(boost::none);
-  mHeadTold = false;
+  mHeadReported = false;
   mSkipping = false;
   mPaused = false;
 }
@@ -117,7 +117,7 @@
 // The whole request is written even when its answer comes first: where the
 // rest of a body is due, the upstream would take other bytes for it.
 void
-UpstreamLink::WriteRequest()
+UpstreamConnection::WriteRequest()
 {
   mWriting = true;
   mSent = true;
@@ -128,13 +128,13 @@
       self->mWriting = false;
       self->mRequest.clear();
       if (aError && !self->mClosed && !self->mReading) {
-        self->Break(aError.message());
+        self->Fail(aError.message());
       }
     });
 }
 
 void
-UpstreamLink::Read()
+UpstreamConnection::Read()
 {
   if (mReading || mClosed || mPaused) {
     return;
@@ -148,14 +148,14 @@
 }
 
 void
-UpstreamLink::Resume()
+UpstreamConnection::Resume()
 {
   mPaused = false;
   Read();
 }
 
 void
-UpstreamLink::OnRead(http::ErrorCode aError, std::size_t aBytes)
+UpstreamConnection::OnRead(http::ErrorCode aError, std::size_t aBytes)
 {
   mReading = false;
   if (mClosed) {
@@ -179,46 +179,46 @@
 // An answer without a length ends with its connection; one that was reset may
 // lack its end and must not pass for whole.
 void
-UpstreamLink::OnReadEnd(http::ErrorCode aError)
+UpstreamConnection::OnReadEnd(http::ErrorCode aError)
 {
   if (mListener == nullptr) {
     Close();
     return;
   }
   const bool clean = aError == net::error::eof;
-  if (clean && mParser && mParser->is_header_done() && mHeadTold &&
+  if (clean && mParser && mParser->is_header_done() && mHeadReported &&
       !mSkipping && mParser->need_eof()) {
     http::ErrorCode error;
     mParser->put_eof(error);
     if (!error && mParser->is_done()) {
       mKeepAlive = false;
-      EndAnswer();
+      FinishResponse();
       return;
     }
   }
-  Break(clean ? "the upstream closed" : aError.message());
+  Fail(clean ? "the upstream closed" : aError.message());
 }
 
 void
-UpstreamLink::Parse()
+UpstreamConnection::Parse()
 {
   while (mBuffer.size() > 0 && mListener != nullptr && !mClosed) {
     http::ErrorCode error;
     const std::size_t used = mParser->put(mBuffer.data(), error);
     mBuffer.consume(used);
     if (error && error != beast_http::error::need_more) {
-      Break("not an answer: " + error.message());
+      Fail("not an answer: " + error.message());
       return;
     }
-    if (mParser->is_header_done() && !mHeadTold && !TakeHead()) {
+    if (mParser->is_header_done() && !mHeadReported && !HandleHead()) {
       return;
     }
-    TakeBody();
+    HandleBody();
     if (mListener == nullptr || mClosed) {
       return;
     }
     if (mParser->is_done()) {
-      EndAnswer();
+      FinishResponse();
       return;
     }
     if (error || used == 0) {
@@ -228,34 +228,34 @@
 }
 
 bool
-UpstreamLink::TakeHead()
+UpstreamConnection::HandleHead()
 {
   const auto& message = mParser->get();
-  mHeadTold = true;
+  mHeadReported = true;
   if (message.result_int() < 200) {
     mSkipping = true;
     return true;
   }
-  UpstreamHead head{ .mStatus = message.result_int(),
+  ResponseHead head{ .mStatus = message.result_int(),
                      .mReason = std::string(message.reason()),
                      .mFields = {} };
   for (const auto& field : message) {
     head.mFields.emplace_back(field.name_string(), field.value());
   }
   mKeepAlive = mParser->keep_alive();
-  mKeptFor = ReadKeepAlive(FieldOf(head.mFields, "keep-alive"));
+  mAdvertisedIdleTimeout = ParseKeepAlive(FieldOf(head.mFields, "keep-alive"));
   mSkipping = !mListener->OnHead(std::move(head));
-  if (mSkipping && ++mSkipped > kMostSkipped) {
-    Break("too many answers that nobody asked for");
+  if (mSkipping && ++mSkipped > kMaxSkippedResponses) {
+    Fail("too many answers that nobody asked for");
   }
   return !mClosed && mListener != nullptr;
 }
 
 void
-UpstreamLink::TakeBody()
+UpstreamConnection::HandleBody()
 {
   auto& body = mParser->get().body();
-  if (body.empty() || !mHeadTold) {
+  if (body.empty() || !mHeadReported) {
     return;
   }
   std::string bytes = std::exchange(body, {});
@@ -265,7 +265,7 @@
 }
 
 void
-UpstreamLink::EndAnswer()
+UpstreamConnection::FinishResponse()
 {
   if (mSkipping) {
     StartParser();
@@ -278,41 +278,41 @@
 }
 
 bool
-UpstreamLink::IsReusable() const
+UpstreamConnection::IsReusable() const
 {
   return !mClosed && mKeepAlive && !mWriting && mBuffer.size() == 0 &&
          mListener == nullptr;
 }
 
 bool
-UpstreamLink::IsSound()
+UpstreamConnection::IsStillOpen()
 {
-  return IsReusable() && !HasEnded(mSocket);
+  return IsReusable() && !HasEofOrData(mSocket);
 }
 
 void
-UpstreamLink::Break(const std::string& aReason, bool aRefused)
+UpstreamConnection::Fail(const std::string& aReason, bool aRefused)
 {
-  const LinkFailure failure{ .mReason = aReason,
-                             .mMayHaveBeenSent = mSent,
-                             .mReused = mServed > 0,
-                             .mRefused = aRefused };
+  const ConnectionFailure failure{ .mReason = aReason,
+                                   .mMayHaveBeenSent = mSent,
+                                   .mReused = mServed > 0,
+                                   .mRefused = aRefused };
   UpstreamListener* listener = std::exchange(mListener, nullptr);
   Close();
   if (listener != nullptr) {
-    listener->OnBroken(failure);
+    listener->OnConnectionFailed(failure);
   }
 }
 
 void
-UpstreamLink::Drop()
+UpstreamConnection::Drop()
 {
   mListener = nullptr;
   Close();
 }
 
 void
-UpstreamLink::Close()
+UpstreamConnection::Close()
 {
   if (mClosed) {
     return;
--- a/src/gateway/UpstreamLink.h
+++ b/src/gateway/UpstreamConnection.h
@@ -14,7 +14,7 @@
 namespace peridotspool::gateway {
 
 /** How a connection to an upstream failed a request. */
-struct LinkFailure
+struct ConnectionFailure
 {
   std::string mReason;
   /** False proves that the upstream never saw the request. */
@@ -31,11 +31,11 @@
 public:
   virtual ~UpstreamListener() = default;
   /** Returns false iff the answer belongs to another request: skip it. */
-  virtual bool OnHead(UpstreamHead aHead) = 0;
+  virtual bool OnHead(ResponseHead aHead) = 0;
   virtual void OnBody(std::string aBytes) = 0;
   /** The answer is whole. */
   virtual void OnEnd() = 0;
-  virtual void OnBroken(const LinkFailure& aFailure) = 0;
+  virtual void OnConnectionFailed(const ConnectionFailure& aFailure) = 0;
 };
 
 /**
@@ -43,10 +43,11 @@
  * of it until the request has ended or the connection is dropped, and nothing
  * after that.
  */
-class UpstreamLink : public std::enable_shared_from_this<UpstreamLink>
+class UpstreamConnection
+  : public std::enable_shared_from_this<UpstreamConnection>
 {
 public:
-  UpstreamLink(http::net::io_context& aIo, UpstreamName aName);
+  UpstreamConnection(http::net::io_context& aIo, UpstreamName aName);
 
   /** Connects, and sends a request right after. */
   void Open(const Address& aAddress,
@@ -64,9 +65,12 @@
   /** Returns true iff another request may be sent on it. */
   bool IsReusable() const;
   /** Returns true iff it is open and as idle as it should be. */
-  bool IsSound();
+  bool IsStillOpen();
   /** How long the upstream keeps it open while idle; empty if it won't say. */
-  std::optional<Duration> KeptFor() const { return mKeptFor; }
+  std::optional<Duration> AdvertisedIdleTimeout() const
+  {
+    return mAdvertisedIdleTimeout;
+  }
 
 private:
   using Parser =
@@ -79,10 +83,10 @@
   void OnRead(http::ErrorCode aError, std::size_t aBytes);
   void OnReadEnd(http::ErrorCode aError);
   void Parse();
-  bool TakeHead();
-  void TakeBody();
-  void EndAnswer();
-  void Break(const std::string& aReason, bool aRefused = false);
+  bool HandleHead();
+  void HandleBody();
+  void FinishResponse();
+  void Fail(const std::string& aReason, bool aRefused = false);
   void Close();
 
   http::Tcp::socket mSocket;
@@ -96,13 +100,13 @@
   bool mReading = false;
   bool mPaused = false;
   bool mClosed = false;
-  bool mHeadTold = false;
+  bool mHeadReported = false;
   bool mSkipping = false;
   bool mKeepAlive = false;
   bool mSent = false;
   std::size_t mServed = 0;
   std::size_t mSkipped = 0;
-  std::optional<Duration> mKeptFor;
+  std::optional<Duration> mAdvertisedIdleTimeout;
 };
 
 } // namespace peridotspool::gateway
--- a/src/gateway/UpstreamPool.h
+++ b/src/gateway/UpstreamConnectionPool.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/UpstreamLink.h"
+#include "gateway/UpstreamConnection.h"
 #include "peridotspool/base/Time.h"
 
 #include <memory>
@@ -10,23 +10,25 @@
 namespace peridotspool::gateway {
 
 /** Idle connections to upstreams, kept for the next request. */
-class UpstreamPool
+class UpstreamConnectionPool
 {
 public:
   /** Returns an idle connection that still stands, or null. */
-  std::shared_ptr<UpstreamLink> Take(const UpstreamName& aName, TimePoint aNow);
+  std::shared_ptr<UpstreamConnection> Acquire(const UpstreamName& aName,
+                                              TimePoint aNow);
   /** Keeps a connection if another request may be sent on it. */
-  void Keep(const std::shared_ptr<UpstreamLink>& aLink, TimePoint aNow);
+  void Release(const std::shared_ptr<UpstreamConnection>& aConnection,
+               TimePoint aNow);
   /** Ends connections that the upstream is about to end. */
   void Sweep(TimePoint aNow);
-  void Forget(const UpstreamName& aName);
+  void Remove(const UpstreamName& aName);
   std::size_t Size() const;
 
 private:
   struct Idle
   {
-    std::shared_ptr<UpstreamLink> mLink;
-    TimePoint mUntil;
+    std::shared_ptr<UpstreamConnection> mConnection;
+    TimePoint mExpiresAt;
   };
 
   std::unordered_map<UpstreamName, std::vector<Idle>> mIdle;
--- a/src/runtime/GatewayRelay.cpp
+++ b/src/runtime/GatewayRelay.cpp
@@ -124,25 +124,26 @@
     .mQuota = {},
     .mUsage =
       gateway::UsageTally(mSettings.mDuties.mUsageWindow, RandomNumber()),
-    .mTellLeader =
+    .mSendToLeader =
       [this](gateway::SharedMessage aMessage) {
         if (mLeader) {
           SendPeer(*mLeader, std::move(aMessage));
         }
       },
     .mKeepers = {},
-    .mKeeper = {},
-    .mInquiries = {},
-    .mTellEntry =
+    .mCoordinator = {},
+    .mLoadQueries = {},
+    .mSendToEntry =
       [this](const Address& aTo, gateway::SharedMessage aMessage) {
         TellEntry(aTo, std::move(aMessage));
       },
-    .mLastSend = RandomNumber(),
-    .mWall = ReadWallMicros,
-    .mWaiting = {},
-    .mAsking = {},
-    .mStartPlan = gateway::StartPlan({ .mWithin = kStartsFor }, ReadClock()),
-    .mStarting = {},
+    .mLastSendId = RandomNumber(),
+    .mWallClock = ReadWallMicros,
+    .mQuotaWaiters = {},
+    .mLoadWaiters = {},
+    .mStartupPolicy =
+      gateway::StartupPolicy({ .mStartupPeriod = kStartsFor }, ReadClock()),
+    .mStartupWaiters = {},
     .mTable = nullptr });
   mFeed.emplace(*mCore);
   mGateway = std::make_unique<gateway::Gateway>(
@@ -181,12 +182,12 @@
   PullUpstreams(now);
   Decide(mCore->mQuota.Tick(now));
   if (auto returns = mCore->mQuota.TakeReturns()) {
-    mCore->mTellLeader(std::move(*returns));
+    mCore->mSendToLeader(std::move(*returns));
   }
   mCounters.Set(observe::CounterId::kLimitUnitsLate,
                 static_cast<std::uint64_t>(mCore->mQuota.LateUnits()));
-  mCore->mKeeper.Forget(now);
-  mCore->WakeStarting();
+  mCore->mCoordinator.Forget(now);
+  mCore->ResumeStartupWaiters();
   mCore->TickGate();
   ReportUsage(now);
   mTraffic.Tick(*mLogger, mCounters, now);
@@ -294,20 +295,21 @@
                { { "exchanges", mGateway->Exchanges() } });
   mCore->mStopping = true;
   mReady = false;
-  mCore->mStopPlan.emplace(
-    gateway::StopPlanOptions{ .mGrace = mSettings.mStopGrace }, ReadClock());
+  mCore->mShutdownPolicy.emplace(
+    gateway::ShutdownPolicyOptions{ .mGrace = mSettings.mStopGrace },
+    ReadClock());
   Step(membership::LeaveEvent{});
 }
 
 bool
 GatewayRelay::GoOnStopping(TimePoint aNow)
 {
-  const auto stage = mCore->mStopPlan->Step(mGateway->IsQuiet(), aNow);
-  if (stage != gateway::StopStage::kTakesRequests && !mCore->mRefusing) {
+  const auto stage = mCore->mShutdownPolicy->Step(mGateway->IsQuiet(), aNow);
+  if (stage != gateway::ShutdownStage::kAccepting && !mCore->mRefusing) {
     mCore->mRefusing = true;
     mGateway->CloseIdle();
   }
-  if (stage != gateway::StopStage::kOver) {
+  if (stage != gateway::ShutdownStage::kComplete) {
     return false;
   }
   Step(membership::LeftNothingEvent{});
--- a/src/runtime/GatewayRelaySession.cpp
+++ b/src/runtime/GatewayRelaySession.cpp
@@ -89,9 +89,9 @@
     std::count_if(controls.begin(), controls.end(), [&](const Address& aOne) {
       return mFeed->Knows(aOne);
     });
-  mCore->mStartPlan.TakeNews(
+  mCore->mStartupPolicy.RecordUpdates(
     static_cast<std::size_t>(heard), controls.size(), now);
-  mCore->WakeStarting();
+  mCore->ResumeStartupWaiters();
   SendPull(aFrom);
 }
 
@@ -120,7 +120,7 @@
   mLeaderHeardAt = ReadClock();
   mCore->mCrashes.MeetLeader();
   if (auto again = mCore->mQuota.AskAgain(); !again.mLines.empty()) {
-    mCore->mTellLeader(std::move(again));
+    mCore->mSendToLeader(std::move(again));
   }
   mReportedAt = TimePoint();
   ReportUsage(mLeaderHeardAt);
@@ -145,16 +145,28 @@
         mCore->mUsage.TakeTime(aTime.mMicros, now);
       },
       [&](const gateway::LoadAsk& aAsk) {
-        TellEntry(aFrom, mCore->mKeeper.Answer(aAsk, now));
+        TellEntry(aFrom, mCore->mCoordinator.Answer(aAsk, now));
       },
-      [&](const gateway::LoadTold& aTold) { mCore->TakeTold(aTold); },
+      [&](const gateway::LoadTold& aTold) { mCore->HandleLoadResponse(aTold); },
       [&](const routing::CrashTaken& aTaken) { mCore->mCrashes.Take(aTaken); },
-      [&](const routing::TurnAnswer& aTurn) { mCore->TakeTurn(aTurn); },
-      [&](const routing::QuarantineTold& aTold) { mCore->TakeTold(aTold); },
-      [&](const rollout::RolloutUpdate& aUpdate) { mCore->Take(aUpdate); },
-      [&](const gateway::LoadSent& aOne) { mCore->mKeeper.Take(aOne, now); },
-      [&](const gateway::LoadBegun& aOne) { mCore->mKeeper.Take(aOne, now); },
-      [&](const gateway::LoadEnded& aOne) { mCore->mKeeper.Take(aOne, now); },
+      [&](const routing::TurnAnswer& aTurn) {
+        mCore->HandlePermitResponse(aTurn);
+      },
+      [&](const routing::QuarantineTold& aTold) {
+        mCore->HandleQuarantineUpdate(aTold);
+      },
+      [&](const rollout::RolloutUpdate& aUpdate) {
+        mCore->HandleRolloutUpdate(aUpdate);
+      },
+      [&](const gateway::LoadSent& aOne) {
+        mCore->mCoordinator.Take(aOne, now);
+      },
+      [&](const gateway::LoadBegun& aOne) {
+        mCore->mCoordinator.Take(aOne, now);
+      },
+      [&](const gateway::LoadEnded& aOne) {
+        mCore->mCoordinator.Take(aOne, now);
+      },
       // What else there is goes to the leader.
       [](const auto& /*aOther*/) {} },
     aMessage);
@@ -164,10 +176,10 @@
 GatewayRelay::Decide(const std::vector<gateway::QuotaDecided>& aDecided)
 {
   for (const gateway::QuotaDecided& one : aDecided) {
-    const auto waiting = mCore->mWaiting.find(one.mTag);
-    if (waiting != mCore->mWaiting.end()) {
+    const auto waiting = mCore->mQuotaWaiters.find(one.mTag);
+    if (waiting != mCore->mQuotaWaiters.end()) {
       const auto call = std::move(waiting->second);
-      mCore->mWaiting.erase(waiting);
+      mCore->mQuotaWaiters.erase(waiting);
       call(one);
     }
   }
@@ -245,7 +257,7 @@
                    { "routes", mCore->mTable->Source().mRoutes.size() } });
   }
   mReady = !mCore->mStopping;
-  mCore->WakeStarting();
+  mCore->ResumeStartupWaiters();
   const Revision revision = aEffect.mRevision;
   net::post(mIo, [this, revision] {
     Step(membership::SettingsInForceEvent{ revision });
--- a/src/runtime/UpstreamFeed.cpp
+++ b/src/runtime/UpstreamFeed.cpp
@@ -35,13 +35,13 @@
                       { "told_by", ToText(aFrom) },
                       { "version", aPush.mTo } });
   if (!ready || restarted) {
-    mCore.mPool.Forget(aName);
+    mCore.mPool.Remove(aName);
   }
   for (const auto& ended : mCore.mWitness.Announced(
          { .mName = aName, .mIncarnation = known->mReport.mIncarnation },
          known->mReport.mAddress,
          aNow)) {
-    mCore.NoteEnded(ended);
+    mCore.OnUpstreamEnded(ended);
   }
 }
 
--- a/test/gateway/EventSplitterTest.cpp
+++ b/test/gateway/EventSplitterTest.cpp
@@ -13,13 +13,14 @@
 TEST_CASE("EventSplitterHandsOnWholeEventsOnly")
 {
   EventSplitter splitter;
-  CHECK(splitter.Take("id: 1\ndata: a\n").empty());
+  CHECK(splitter.Append("id: 1\ndata: a\n").empty());
   CHECK(splitter.LastId().empty());
-  CHECK(splitter.Take("\nid: 2\nda") == "id: 1\ndata: a\n\n");
+  CHECK(splitter.Append("\nid: 2\nda") == "id: 1\ndata: a\n\n");
   CHECK(splitter.LastId() == "1");
-  CHECK(splitter.Rest() == "id: 2\nda");
-  splitter.DropRest();
-  CHECK(splitter.Take("id:2\r\ndata: b\r\n\r\n") == "id:2\r\ndata: b\r\n\r\n");
+  CHECK(splitter.Incomplete() == "id: 2\nda");
+  splitter.DropIncomplete();
+  CHECK(splitter.Append("id:2\r\ndata: b\r\n\r\n") ==
+        "id:2\r\ndata: b\r\n\r\n");
   CHECK(splitter.LastId() == "2");
 }
 
@@ -36,11 +37,11 @@
     std::size_t place = 0;
     while (place < all.size()) {
       const auto length = *rc::gen::inRange<std::size_t>(1, 9);
-      seen += splitter.Take(all.substr(place, length));
+      seen += splitter.Append(all.substr(place, length));
       place += length;
     }
     RC_ASSERT(seen == all);
-    RC_ASSERT(splitter.Rest().empty());
+    RC_ASSERT(splitter.Incomplete().empty());
     RC_ASSERT(splitter.LastId() == std::to_string(events - 1));
   });
 }
--- a/test/gateway/ExchangeLoadTest.cpp
+++ b/test/gateway/ExchangeLoadTest.cpp
@@ -35,7 +35,8 @@
     mGateway.OnRelay([this] {
       GatewayCore& core = mGateway.Core();
       core.mKeepers.Use({ { .mAddress = kKeeper, .mDomain = {} } });
-      core.mTellEntry = [this](const Address&, const SharedMessage& aMessage) {
+      core.mSendToEntry = [this](const Address&,
+                                 const SharedMessage& aMessage) {
         const std::lock_guard lock(mMutex);
         mTold.push_back(aMessage);
         if (const auto* ask = std::get_if<LoadAsk>(&aMessage);
@@ -86,7 +87,7 @@
   void Answer(std::vector<LoadLine> aLines)
   {
     const LoadTold told{ .mTag = AskedTag(), .mLines = std::move(aLines) };
-    mGateway.OnRelay([&] { mGateway.Core().TakeTold(told); });
+    mGateway.OnRelay([&] { mGateway.Core().HandleLoadResponse(told); });
   }
 
   std::uint64_t Counted(CounterId aId)
@@ -106,7 +107,7 @@
   {
     GatewayCore& core = mGateway.Core();
     http::net::post(core.mIo, [&core, told = LoadTold{ aTag, *mAnswers }] {
-      core.TakeTold(told);
+      core.HandleLoadResponse(told);
     });
   }
 
--- a/test/gateway/ExchangeGateTest.cpp
+++ b/test/gateway/ExchangeQuarantineTest.cpp
@@ -30,7 +30,7 @@
 {
   aGateway.OnRelay([&] {
     const std::uint64_t known = aGateway.Core().mGate.Known();
-    aGateway.Core().TakeTold(routing::QuarantineTold{
+    aGateway.Core().HandleQuarantineUpdate(routing::QuarantineTold{
       .mFrom = known,
       .mTo = known + 1,
       .mLines = { { .mContent = aContent, .mStage = aStage } } });
@@ -40,10 +40,10 @@
 /** The last message of a type that the leader was told. */
 template<typename Message>
 std::optional<Message>
-LastTold(GatewayFixture& aGateway)
+LastSent(GatewayFixture& aGateway)
 {
   std::optional<Message> last;
-  for (const SharedMessage& message : aGateway.ToldLeader()) {
+  for (const SharedMessage& message : aGateway.SentToLeader()) {
     if (const auto* one = std::get_if<Message>(&message)) {
       last = *one;
     }
@@ -82,13 +82,15 @@
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "suspect"));
   REQUIRE(Eventually(
-    [&] { return LastTold<routing::TurnAsk>(gateway).has_value(); }));
-  const auto ask = *LastTold<routing::TurnAsk>(gateway);
+    [&] { return LastSent<routing::TurnAsk>(gateway).has_value(); }));
+  const auto ask = *LastSent<routing::TurnAsk>(gateway);
   CHECK(ask.mContent == content);
   CHECK(upstream.Requests().empty());
-  gateway.OnRelay([&] { gateway.Core().TakeTurn({ ask.mTag, true }); });
+  gateway.OnRelay([&] {
+    gateway.Core().HandlePermitResponse({ ask.mTag, true });
+  });
   CHECK(caller.ReadAnswer().ends_with("answer"));
-  CHECK(LastTold<routing::TurnEnded>(gateway) ==
+  CHECK(LastSent<routing::TurnEnded>(gateway) ==
         routing::TurnEnded{ content, ask.mTag, true });
 }
 
@@ -120,8 +122,8 @@
   caller.Send(RequestText("once", "g1", "deadly"));
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
   REQUIRE(Eventually(
-    [&] { return LastTold<routing::CrashReport>(gateway).has_value(); }));
-  const auto report = *LastTold<routing::CrashReport>(gateway);
+    [&] { return LastSent<routing::CrashReport>(gateway).has_value(); }));
+  const auto report = *LastSent<routing::CrashReport>(gateway);
   REQUIRE(report.mLines.size() == 1);
   CHECK(report.mLines[0].mContent == ContentOfText("once", "deadly"));
   CHECK(report.mLines[0].mUpstream == UpstreamName("u"));
@@ -143,7 +145,7 @@
     // The connection that is tried.
     REQUIRE(Eventually([&] { return upstream.Connections() == 2; }));
     gateway.OnRelay([] {});
-    CHECK(LastTold<routing::CrashReport>(gateway) == std::nullopt);
+    CHECK(LastSent<routing::CrashReport>(gateway) == std::nullopt);
   }
 }
 
@@ -172,7 +174,7 @@
   caller.Send(RequestText("once", "g1"));
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  CHECK(LastTold<routing::CrashReport>(gateway) == std::nullopt);
+  CHECK(LastSent<routing::CrashReport>(gateway) == std::nullopt);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/ExchangeStartTest.cpp
+++ b/test/gateway/ExchangeStartTest.cpp
@@ -24,43 +24,44 @@
   std::shared_ptr<const RouteTable> table;
   gateway.OnRelay([&] {
     table = std::exchange(gateway.Core().mTable, nullptr);
-    gateway.Core().mStartPlan =
-      StartPlan({ .mWithin = std::chrono::seconds(60),
-                  .mWaitMost = std::chrono::seconds(30) },
-                gateway.Core().mNow());
+    gateway.Core().mStartupPolicy =
+      StartupPolicy({ .mStartupPeriod = std::chrono::seconds(60),
+                      .mMaxWait = std::chrono::seconds(30) },
+                    gateway.Core().mNow());
   });
   Caller caller(gateway.Where());
   caller.Send(RequestText("safe", "r1"));
   REQUIRE(Eventually([&] { return gateway.Exchanges() == 1; }));
   gateway.OnRelay([&] {
     gateway.Core().mTable = table;
-    gateway.Core().WakeStarting();
+    gateway.Core().ResumeStartupWaiters();
     // Nothing that it lacks has come: it goes on waiting.
-    gateway.Core().WakeStarting();
+    gateway.Core().ResumeStartupWaiters();
   });
   CHECK(upstream.Requests().empty());
   gateway.Add("u1", upstream.Where());
   gateway.OnRelay([&] {
     // One of two replicas has told of its upstreams.
-    gateway.Core().mStartPlan.TakeNews(1, 2, gateway.Core().mNow());
-    gateway.Core().WakeStarting();
+    gateway.Core().mStartupPolicy.RecordUpdates(1, 2, gateway.Core().mNow());
+    gateway.Core().ResumeStartupWaiters();
   });
   CHECK(upstream.Requests().empty());
   gateway.OnRelay([&] {
-    gateway.Core().mStartPlan.TakeNews(2, 2, gateway.Core().mNow());
-    gateway.Core().WakeStarting();
+    gateway.Core().mStartupPolicy.RecordUpdates(2, 2, gateway.Core().mNow());
+    gateway.Core().ResumeStartupWaiters();
   });
   CHECK(upstream.Requests().empty());
   gateway.OnRelay([&] {
-    gateway.Core().TakeTold(routing::QuarantineTold{ .mFrom = 0, .mTo = 1 });
+    gateway.Core().HandleQuarantineUpdate(
+      routing::QuarantineTold{ .mFrom = 0, .mTo = 1 });
   });
   CHECK(upstream.Requests().empty());
   gateway.OnRelay([&] {
-    gateway.Core().Take(rollout::RolloutUpdate{
+    gateway.Core().HandleRolloutUpdate(rollout::RolloutUpdate{
       .mTerm = 1, .mSequence = 1, .mNumber = 1, .mServices = {} });
   });
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 200");
-  gateway.OnRelay([&] { gateway.Core().WakeStarting(); });
+  gateway.OnRelay([&] { gateway.Core().ResumeStartupWaiters(); });
   CHECK(upstream.Requests().size() == 1);
 }
 
@@ -69,10 +70,10 @@
   GatewayFixture gateway;
   gateway.OnRelay([&] {
     gateway.Core().mTable = nullptr;
-    gateway.Core().mStartPlan =
-      StartPlan({ .mWithin = std::chrono::seconds(60),
-                  .mWaitMost = std::chrono::milliseconds(20) },
-                gateway.Core().mNow());
+    gateway.Core().mStartupPolicy =
+      StartupPolicy({ .mStartupPeriod = std::chrono::seconds(60),
+                      .mMaxWait = std::chrono::milliseconds(20) },
+                    gateway.Core().mNow());
   });
   Caller caller(gateway.Where());
   caller.Send(RequestText("safe", "r1"));
--- a/test/gateway/ExchangeTest.cpp
+++ b/test/gateway/ExchangeTest.cpp
@@ -254,7 +254,7 @@
   caller.Send(RequestText("stream", "j1"));
   caller.ReadTo("id: 1\n");
   caller.Close();
-  CHECK(Eventually([&] { return upstream.LeftAlone() == 1; }));
+  CHECK(Eventually([&] { return upstream.ClosedWhileHanging() == 1; }));
 }
 
 // Symptom: an answer was cut short by a planned stop.
@@ -291,7 +291,7 @@
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 504");
   const auto took = std::chrono::steady_clock::now() - before;
   CHECK(took >= std::chrono::milliseconds(990));
-  CHECK(Eventually([&] { return upstream.LeftAlone() == 1; }));
+  CHECK(Eventually([&] { return upstream.ClosedWhileHanging() == 1; }));
 }
 
 // Symptom: an upstream ran a request that no caller had sent.
--- a/test/gateway/GatewayFixture.cpp
+++ b/test/gateway/GatewayFixture.cpp
@@ -196,7 +196,7 @@
     if (script.mThen == Script::Then::kHang) {
       char byte = 0;
       aSocket.read_some(net::buffer(&byte, 1), error);
-      ++mLeftAlone;
+      ++mClosedWhileHanging;
       return;
     }
     if (script.mThen == Script::Then::kReset) {
@@ -302,16 +302,16 @@
     .mNow = runtime::ReadClock,
     .mQuota = {},
     .mUsage = UsageTally(std::chrono::seconds(5), 1),
-    .mTellLeader =
+    .mSendToLeader =
       [this](SharedMessage aMessage) {
-        mToldLeader.push_back(std::move(aMessage));
+        mSentToLeader.push_back(std::move(aMessage));
       },
     .mKeepers = {},
-    .mKeeper = {},
-    .mInquiries = {},
-    .mTellEntry = [](const Address&, const SharedMessage&) {},
-    .mWall = runtime::ReadWallMicros,
-    .mWaiting = {},
+    .mCoordinator = {},
+    .mLoadQueries = {},
+    .mSendToEntry = [](const Address&, const SharedMessage&) {},
+    .mWallClock = runtime::ReadWallMicros,
+    .mQuotaWaiters = {},
     .mTable = MakeTable() });
   // A free port, found by opening and closing it.
   http::Tcp::acceptor probe(
--- a/test/gateway/GatewayFixture.h
+++ b/test/gateway/GatewayFixture.h
@@ -51,7 +51,7 @@
   std::vector<std::string> Requests() const;
   std::size_t Connections() const { return mConnections; }
   /** Connections that the other end closed while a request hung. */
-  std::size_t LeftAlone() const { return mLeftAlone; }
+  std::size_t ClosedWhileHanging() const { return mClosedWhileHanging; }
 
 private:
   void Accept();
@@ -65,7 +65,7 @@
   std::vector<std::shared_ptr<http::Tcp::socket>> mSockets;
   std::vector<std::thread> mThreads;
   std::atomic<std::size_t> mConnections{ 0 };
-  std::atomic<std::size_t> mLeftAlone{ 0 };
+  std::atomic<std::size_t> mClosedWhileHanging{ 0 };
   std::atomic<bool> mStopping{ false };
   std::thread mAccepting;
 };
@@ -109,10 +109,10 @@
   bool IsQuiet();
   std::size_t Exchanges();
   /** What was told to the control leader. */
-  std::vector<SharedMessage> ToldLeader()
+  std::vector<SharedMessage> SentToLeader()
   {
     std::vector<SharedMessage> told;
-    OnRelay([&] { told = mToldLeader; });
+    OnRelay([&] { told = mSentToLeader; });
     return told;
   }
 
@@ -120,7 +120,7 @@
   observe::Counters mCounters;
   http::net::io_context mIo{ 1 };
   std::unique_ptr<observe::Logger> mLogger;
-  std::vector<SharedMessage> mToldLeader;
+  std::vector<SharedMessage> mSentToLeader;
   std::unique_ptr<GatewayCore> mCore;
   std::unique_ptr<Gateway> mGateway;
   Address mWhere;
--- a/test/gateway/HeaderRulesTest.cpp
+++ b/test/gateway/HeaderRulesTest.cpp
@@ -34,13 +34,13 @@
 // Cause: the field was handed on beside the gateway's own.
 TEST_CASE("WriteForwardLetsNothingPassForWhatTheGatewaySets")
 {
-  const std::string text = WriteForward(MakeRequest(),
-                                        TestNames(),
-                                        { .mCustomer = "real",
-                                          .mUpstream = "u1",
-                                          .mDeadlineMs = 250,
-                                          .mPriority = 2,
-                                          .mLastEvent = {} });
+  const std::string text = WriteUpstreamRequest(MakeRequest(),
+                                                TestNames(),
+                                                { .mCustomer = "real",
+                                                  .mUpstream = "u1",
+                                                  .mDeadlineMs = 250,
+                                                  .mPriority = 2,
+                                                  .mLastEvent = {} });
   CHECK(text.find("forged") == std::string::npos);
   CHECK(text.find("secret") == std::string::npos);
   CHECK(text.find("gateway only") == std::string::npos);
@@ -59,10 +59,10 @@
 {
   CallerRequest request = MakeRequest();
   request.mFields.emplace_back("last-event-id", "3");
-  const std::string own = WriteForward(request, TestNames(), {});
+  const std::string own = WriteUpstreamRequest(request, TestNames(), {});
   CHECK(own.find("last-event-id: 3\r\n") != std::string::npos);
   const std::string resumed =
-    WriteForward(request, TestNames(), { .mLastEvent = "9" });
+    WriteUpstreamRequest(request, TestNames(), { .mLastEvent = "9" });
   CHECK(resumed.find("last-event-id: 3") == std::string::npos);
   CHECK(resumed.find("Last-Event-Id: 9\r\n") != std::string::npos);
 }
@@ -72,32 +72,32 @@
   CallerRequest request = MakeRequest();
   request.mMethod = "GET";
   request.mBody.clear();
-  CHECK(WriteForward(request, TestNames(), {}).find("Content-Length") ==
+  CHECK(WriteUpstreamRequest(request, TestNames(), {}).find("Content-Length") ==
         std::string::npos);
 }
 
 TEST_CASE("WriteAnswerHeadKeepsTheUpstreamsFieldsAndFramesAnew")
 {
-  const UpstreamHead head{ .mStatus = 200,
+  const ResponseHead head{ .mStatus = 200,
                            .mReason = "OK",
                            .mFields = { { "X-Stamp", "s" },
                                         { "Keep-Alive", "timeout=5" },
                                         { "Transfer-Encoding", "chunked" },
                                         { "Content-Length", "3" } } };
-  CHECK(WriteAnswerHead(head, 5, true) ==
+  CHECK(WriteResponseHead(head, 5, true) ==
         "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nContent-Length: 5\r\n\r\n");
-  CHECK(WriteAnswerHead(head, std::nullopt, false) ==
+  CHECK(WriteResponseHead(head, std::nullopt, false) ==
         "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nTransfer-Encoding: "
         "chunked\r\nConnection: close\r\n\r\n");
 }
 
 TEST_CASE("WriteOwnAnswerSaysWhenToComeBack")
 {
-  const std::string text =
-    WriteOwnAnswer({ .mStatus = 503, .mReason = "full", .mRetryAfter = 0.3 },
-                   "X-Id",
-                   "r1",
-                   true);
+  const std::string text = WriteLocalResponse(
+    { .mStatus = 503, .mReason = "full", .mRetryAfter = 0.3 },
+    "X-Id",
+    "r1",
+    true);
   CHECK(text.find("Retry-After: 0.30\r\n") != std::string::npos);
   CHECK(text.find("X-Id: r1\r\n") != std::string::npos);
   CHECK(text.find("X-Stamp") == std::string::npos);
@@ -105,10 +105,10 @@
 
 TEST_CASE("BearerOfAndReadNumberTakeOnlyWhatTheyAreMadeFor")
 {
-  CHECK(BearerOf("Bearer abc") == "abc");
-  CHECK(BearerOf("bearer  abc ") == "abc");
-  CHECK(BearerOf("Basic abc").empty());
-  CHECK(BearerOf("Bearer").empty());
+  CHECK(BearerToken("Bearer abc") == "abc");
+  CHECK(BearerToken("bearer  abc ") == "abc");
+  CHECK(BearerToken("Basic abc").empty());
+  CHECK(BearerToken("Bearer").empty());
   CHECK(ReadNumber("12") == 12U);
   CHECK_FALSE(ReadNumber("-1"));
   CHECK_FALSE(ReadNumber("1x"));
--- a/test/platform/HostileInputTest.cpp
+++ b/test/platform/HostileInputTest.cpp
@@ -189,7 +189,7 @@
     if (counts) {
       gateway::LongestTime(*counts);
     }
-    gateway::BearerOf(spoiler.OtherBytes("Bearer i9n73hh2b9wu3fexd9dn"));
+    gateway::BearerToken(spoiler.OtherBytes("Bearer i9n73hh2b9wu3fexd9dn"));
     ReadContentId(spoiler.OtherBytes("474be0b2072716924b90681280302f3a"));
   }
 }
