--- a/include/peridotspool/gateway/HeaderNames.h
+++ b/include/peridotspool/gateway/HeaderNames.h
@@ -5,34 +5,38 @@
 
 namespace peridotspool::gateway {
 
-/** The header fields that the gateway reads and sets; a deployment's choice. */
+/**
+ * Names of the header fields that the gateway reads and sets. Each deployment
+ * chooses its own.
+ */
 struct HeaderNames
 {
-  /** Names one attempt of a caller; echoed in answers. */
+  /** Identifies one attempt of a caller; echoed in responses. */
   std::string mRequestId;
-  /** Milliseconds that the caller, or the gateway, will wait. */
+  /** Milliseconds that the caller or the gateway waits for the response. */
   std::string mDeadline;
-  /** Set for upstreams: the customer that holds the caller's key. */
+  /** Set in upstream requests: the customer that holds the caller's key. */
   std::string mCustomer;
-  /** Set for upstreams: only the one of this name is to run the request. */
+  /** Set in upstream requests: only the upstream of this name may run it. */
   std::string mExpectUpstream;
-  /** In an upstream's answer: the request did not run. */
+  /** In an upstream's response: the request did not run. */
   std::string mNotRun;
-  /** In every answer that an upstream made: its proof. */
+  /** In every response that an upstream generated: proof of its origin. */
   std::string mStamp;
-  /** In an upstream's answer: running, waiting, slots. */
+  /** In an upstream's response: "RUNNING,WAITING,SLOTS". */
   std::string mLoad;
-  /** Tokens of the prompt, and most tokens of the answer. */
+  /** "PROMPT,ANSWER": prompt tokens and the maximum of generated tokens. */
   std::string mTokenCounts;
-  /** Parts of the prompt, ID:TOKENS, in order. */
+  /** Parts of the prompt in order, each as ID:TOKENS. */
   std::string mPrefix;
-  /** Set for upstreams: which request goes first at an engine. */
+  /** Set in upstream requests: the scheduling priority at an engine. */
   std::string mPriority;
-  /** Set for upstreams: where a shared prompt prefix may be copied from. */
+  /** Set in upstream requests: where a cached prompt prefix can be copied from.
+   */
   std::string mFetchFrom;
-  /** The last event that a resumed stream has delivered. */
+  /** Id of the last event that was delivered before a stream is resumed. */
   std::string mLastEvent;
-  /** Further fields that a caller must not set for an upstream. */
+  /** Further fields that are removed from callers' requests. */
   std::vector<std::string> mReserved;
 };
 
--- a/include/peridotspool/gateway/HeaderRules.h
+++ b/include/peridotspool/gateway/HeaderRules.h
@@ -11,29 +11,31 @@
 
 namespace peridotspool::gateway {
 
-/** Returns true iff the field concerns one connection only (RFC 9110, 7.6.1).
+/**
+ * Returns true iff the field is hop-by-hop (RFC 9110, 7.6.1). aConnection is
+ * the value of the message's Connection field.
  */
 bool
 IsHopByHop(std::string_view aName, std::string_view aConnection);
 
-/** What the gateway says of a request to an upstream. */
+/** Fields that the gateway sets in a request to an upstream. */
 struct UpstreamRequestFields
 {
-  /** Empty where the route needs no key. */
+  /** Empty if the route requires no key. */
   std::string mCustomer;
   std::string mUpstream;
   std::int64_t mDeadlineMs = 0;
   std::optional<unsigned> mPriority;
-  /** Another upstream that may keep the prompt's prefix. */
+  /** Another upstream that may have the prompt's prefix cached. */
   std::optional<Address> mFetchFrom;
-  /** Empty unless a stream goes on after this event. */
+  /** Id of the event after which the stream resumes; empty otherwise. */
   std::string mLastEvent;
 };
 
 /**
- * Writes a request for an upstream: the caller's method, target and body, its
- * own fields, and what the gateway sets. Nothing that the caller sent can pass
- * for what the gateway sets.
+ * Writes a request for an upstream: the caller's method, target, body and
+ * fields, and the fields that the gateway sets. Removes the caller's values of
+ * the latter, so that a caller cannot forge them.
  */
 std::string
 WriteUpstreamRequest(const CallerRequest& aRequest,
@@ -41,20 +43,20 @@
                      const UpstreamRequestFields& aTerms);
 
 /**
- * Writes the head of an answer as the upstream gave it; the length, if given,
- * or chunks frame its body.
+ * Writes the head of an upstream's response with the framing replaced: a body
+ * of aLength bytes, or a chunked one if aLength is empty.
  */
 std::string
 WriteResponseHead(const ResponseHead& aHead,
                   std::optional<std::uint64_t> aLength,
                   bool aKeepAlive);
 
-/** A whole answer of the gateway's own. */
+/** A response that the gateway generates itself. */
 struct LocalResponse
 {
   unsigned mStatus = 503;
   std::string mReason;
-  /** Seconds; 0 for none. */
+  /** In seconds; 0 omits the field. */
   double mRetryAfter = 0.0;
 };
 
@@ -64,11 +66,11 @@
                    std::string_view aRequestId,
                    bool aKeepAlive);
 
-/** Returns the key of "Bearer KEY", or empty. */
+/** Returns the key of "Bearer KEY", or empty for anything else. */
 std::string_view
 BearerToken(std::string_view aAuthorization);
 
-/** Reads a whole number without sign; empty for anything else. */
+/** Parses an unsigned decimal integer; empty for anything else. */
 std::optional<std::uint64_t>
 ReadNumber(std::string_view aText);
 
--- a/include/peridotspool/gateway/RequestHead.h
+++ b/include/peridotspool/gateway/RequestHead.h
@@ -7,22 +7,25 @@
 
 namespace peridotspool::gateway {
 
-/** Header fields in the order in which they came, names as written. */
+/** Header fields in the order received, with their names as written. */
 using FieldList = std::vector<std::pair<std::string, std::string>>;
 
-/** Returns the first value of a field, whatever the case of its name. */
+/**
+ * Returns the first value of a field, or empty. The name is compared without
+ * regard to case.
+ */
 std::string_view
 FieldOf(const FieldList& aFields, std::string_view aName);
 
-/** Returns true iff two field names are the same. */
+/** Returns true iff both texts are equal without regard to case. */
 bool
 EqualsIgnoreCase(std::string_view aLeft, std::string_view aRight);
 
-/** A caller's request, read whole and not changed. */
+/** A caller's complete request, unmodified. */
 struct CallerRequest
 {
   std::string mMethod;
-  /** Path and query, as sent. */
+  /** Path and query as received. */
   std::string mTarget;
   FieldList mFields;
   std::string mBody;
@@ -34,7 +37,7 @@
   }
 };
 
-/** The head of an upstream's answer. */
+/** The status line and header fields of an upstream's response. */
 struct ResponseHead
 {
   unsigned mStatus = 0;
--- a/include/peridotspool/gateway/Route.h
+++ b/include/peridotspool/gateway/Route.h
@@ -10,18 +10,18 @@
 
 namespace peridotspool::gateway {
 
-/** What may be repeated of a request. */
+/** Whether a request may be retried. */
 enum class RequestKind
 {
   /** May run more than once. */
   kIdempotent,
   /** Runs at most once for each request id. */
   kNonIdempotent,
-  /** Its answer is a series of events; repeated only where it may resume. */
+  /** Answered by a stream of events; retried only if the route is resumable. */
   kStreaming,
 };
 
-/** One of the services that a route's requests are split over. */
+/** One of the services among which a route's requests are distributed. */
 struct ServiceShare
 {
   ServiceName mService;
@@ -30,7 +30,7 @@
   auto operator<=>(const ServiceShare&) const = default;
 };
 
-/** Where requests of one host and path prefix go, and under which terms. */
+/** How requests for one host and path prefix are routed. */
 struct Route
 {
   std::string mName;
@@ -40,21 +40,21 @@
   std::string mPrefix;
   RequestKind mKind = RequestKind::kNonIdempotent;
   std::vector<ServiceShare> mShares;
-  /** The longest that a caller is kept waiting for the whole answer. */
+  /** Bounds the time to the end of the response. */
   Duration mTimeout{ 0 };
-  /** An answer (of a stream: the first event) within this is on time. */
+  /** Latency objective of the response, or of a stream's first event. */
   Duration mTargetLatency{ 0 };
-  /** The longest pause between two events of a stream that is on time. */
+  /** Latency objective of each gap between two events of a stream. */
   Duration mTargetGap{ 0 };
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   std::uint32_t mPriority = 0;
-  /** Upstreams that one request may be sent to. */
+  /** Bounds the number of times that one request may run. */
   std::uint32_t mMaxAttempts = 1;
-  /** Needs no customer's key. */
+  /** Requests need no customer's key. */
   bool mPublic = false;
-  /** Requests share prompt prefixes, which upstreams keep. */
+  /** Requests share prompt prefixes, which upstreams cache. */
   bool mSticky = false;
-  /** A broken stream may go on at another upstream. */
+  /** An interrupted stream may be resumed at another upstream. */
   bool mResumable = false;
 
   bool MayRepeat() const
--- a/include/peridotspool/gateway/RouteTable.h
+++ b/include/peridotspool/gateway/RouteTable.h
@@ -15,10 +15,10 @@
 
 namespace peridotspool::gateway {
 
-/** A whole routing configuration as an operator gave it. */
+/** A complete routing configuration as an operator submitted it. */
 struct RouteTableSource
 {
-  /** The operator's own number; a higher one replaces a lower one. */
+  /** Assigned by the operator; a higher version replaces a lower one. */
   std::uint64_t mVersion = 0;
   std::vector<Route> mRoutes;
   std::vector<ServiceProfile> mServices;
@@ -28,26 +28,26 @@
   auto operator<=>(const RouteTableSource&) const = default;
 };
 
-/** A checked routing configuration, indexed for the request path. */
+/** A validated routing configuration, indexed for lookups by request. */
 class RouteTable
 {
 public:
-  /** Returns empty with the reason iff the configuration contradicts itself. */
+  /** Returns empty and sets the reason iff the configuration is invalid. */
   static std::optional<RouteTable> Make(RouteTableSource aSource,
                                         LastReason& aReason);
 
   std::uint64_t Version() const { return mSource.mVersion; }
   const RouteTableSource& Source() const { return mSource; }
   const CallerLimits& Limits() const { return mSource.mLimits; }
-  /** Returns true iff requests need a customer's key. */
+  /** Returns true iff requests on non-public routes need a customer's key. */
   bool HasCustomers() const { return !mSource.mCustomers.empty(); }
 
   /**
-   * Returns the route with the longest prefix of aPath on aHost, or null.
-   * aPath is without a query; aHost may carry a port.
+   * Returns the route of aHost with the longest prefix that matches aPath, or
+   * null. aPath has no query; aHost may include a port.
    */
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
-  /** Returns the customer that holds a key, or null. */
+  /** Returns the customer that holds aKey, or null. */
   const Customer* CustomerOf(std::string_view aKey) const;
   const ServiceProfile* Service(const ServiceName& aName) const;
 
@@ -60,13 +60,13 @@
   bool IndexCustomers(LastReason& aReason);
 
   RouteTableSource mSource;
-  /** Routes of a host, the longest prefix first. */
+  /** Indices of each host's routes, the longest prefix first. */
   std::unordered_map<std::string, Indices> mRoutesByHost;
   std::unordered_map<std::string, std::size_t> mCustomerByKey;
   std::unordered_map<ServiceName, std::size_t> mServiceByName;
 };
 
-/** Returns a host name in lower case, without a port. */
+/** Returns the host name in lower case and without a port. */
 std::string
 NormalizeHost(std::string_view aHost);
 
--- a/include/peridotspool/gateway/ShutdownPolicy.h
+++ b/include/peridotspool/gateway/ShutdownPolicy.h
@@ -8,40 +8,45 @@
 
 struct ShutdownPolicyOptions
 {
-  /** From the order to stop to the end. */
+  /** From the request to stop to the exit of the process. */
   Duration mGrace = std::chrono::seconds(8);
-  /** Requests are taken for this long as if nothing had been said. */
+  /** Requests are accepted for this long after the request to stop. */
   Duration mAcceptFor = std::chrono::milliseconds(2500);
-  /** Callers that lately asked for entries may still come until then. */
+  /** Callers that looked up entries before the stop may connect until then. */
   Duration mMinDuration = std::chrono::milliseconds(1500);
-  /** Bytes that were written last are on their way for this long. */
+  /** The process must be quiet for this long, so that the last bytes written
+   * reach their callers. */
   Duration mQuietFor = std::chrono::milliseconds(150);
-  /** Kept of the grace for ending the process. */
+  /** Part of the grace period that is reserved for exiting. */
   Duration mReserve = std::chrono::milliseconds(40);
 };
 
 enum class ShutdownStage
 {
+  /** Requests are accepted as usual. */
   kAccepting,
-  /** Tells callers to go elsewhere, while there is still time for it. */
+  /** Requests are refused, so that callers use other entries. */
   kRefusing,
+  /** The process exits. */
   kComplete,
 };
 
 /**
- * How a process stops gracefully. Callers learn within seconds that it leaves,
- * and until then open connections to it.
+ * Decides the steps of a graceful shutdown. Callers learn only within seconds
+ * that the process is leaving and open connections to it until then, so it
+ * goes on accepting requests at first.
  *
- * A pure step. Not thread-safe.
+ * Has no side effects beyond its own state. Not thread-safe.
  */
 class ShutdownPolicy
 {
 public:
   ShutdownPolicy(ShutdownPolicyOptions aOptions, TimePoint aNow);
 
-  /** aQuiet: nothing is served, and callers were sent all that is owed. */
+  /** aQuiet: no request is being served and all responses have been written.
+   */
   ShutdownStage Step(bool aQuiet, TimePoint aNow);
-  /** Returns true iff a request that may take this long ends in time. */
+  /** Returns true iff a request that takes up to aLongest ends in time. */
   bool MayAccept(Duration aLongest, TimePoint aNow) const;
 
 private:
--- a/include/peridotspool/gateway/StartupPolicy.h
+++ b/include/peridotspool/gateway/StartupPolicy.h
@@ -9,33 +9,36 @@
 
 struct StartupPolicyOptions
 {
-  /** Requests that come this soon after the start may wait; none if zero. */
+  /** Requests may wait if they arrive within this time after the start; none
+   * may if it is zero. */
   Duration mStartupPeriod{ 0 };
-  /** One request waits this long at most. */
+  /** Bounds the wait of one request. */
   Duration mMaxWait = std::chrono::milliseconds(500);
-  /** Of the news of upstreams, the last is waited for this long after the
-   * first. */
+  /** How long after the first replica's update of upstreams the others'
+   * updates are awaited. */
   Duration mUpdateCollectionTime = std::chrono::milliseconds(150);
 };
 
 /**
- * Says how long a request may wait in a process that has just started and has
- * no settings, or knows no upstream, yet.
+ * Decides how long a request may wait in a process that has just started and
+ * has no settings yet or knows no upstream yet.
  *
- * A pure step. Not thread-safe.
+ * Has no side effects beyond its own state. Not thread-safe.
  */
 class StartupPolicy
 {
 public:
-  /** Lets nothing wait. */
+  /** Makes no request wait. */
   StartupPolicy() = default;
   StartupPolicy(StartupPolicyOptions aOptions, TimePoint aStartedAt);
 
-  /** aHeard of the aOf replicas that take announcements have told theirs. */
+  /** Records that aHeard of the aOf control replicas have sent the upstreams
+   * that are registered with them. */
   void RecordUpdates(std::size_t aHeard, std::size_t aOf, TimePoint aNow);
-  /** Returns true iff what is known of upstreams is enough to choose by. */
+  /** Returns true iff enough updates have come to choose among upstreams. */
   bool HasEnoughUpdates(TimePoint aNow) const;
-  /** Returns the wait that is left; empty iff it is to be refused at once. */
+  /** Returns the time that a request may still wait; empty iff it is to be
+   * refused now. */
   std::optional<Duration> RemainingWait(TimePoint aArrivedAt,
                                         TimePoint aNow) const;
 
--- a/src/gateway/CallerConnection.cpp
+++ b/src/gateway/CallerConnection.cpp
@@ -15,11 +15,11 @@
 namespace beast_http = http::beast_http;
 
 constexpr std::size_t kReadBytes = 16U << 10;
-/** Bytes of requests to come that are taken while one is being served. */
+/** Bytes of further requests that are read while one is being served. */
 constexpr std::size_t kMaxReadAheadBytes = 64U << 10;
-/** A body that is not whole this long after its head is given up. */
+/** Bounds the time from the first byte of a request to the end of its body. */
 constexpr Duration kBodyTimeout = std::chrono::seconds(20);
-/** Callers use a connection up to its idle timeout; it ends a little later. */
+/** Added to the idle time-out: callers reuse a connection up to its end. */
 constexpr Duration kIdleTimeoutSlack = std::chrono::seconds(1);
 
 } // namespace
@@ -123,9 +123,10 @@
   }
 }
 
-// A request that two readers take apart differently can carry another one
-// inside its body. The parser settles most of it; what is legal but rare is
-// refused as well, because a runner may read it in its own way.
+// Guards against request smuggling: if two parsers disagree about the framing,
+// a request can carry another one in its body. The parser rejects most such
+// requests. Legal but rare framing is rejected as well, because an upstream may
+// interpret it differently.
 std::string
 CallerConnection::FramingFault() const
 {
@@ -239,7 +240,7 @@
     return;
   }
   if (mBuffer.size() > 0) {
-    // Not at once: the owner is still busy with the request before.
+    // Deferred, because the owner is still handling the previous request.
     net::post(mSocket.get_executor(), [self = shared_from_this()] {
       if (!self->mClosed && !self->mServing) {
         self->Parse();
--- a/src/gateway/CallerConnection.h
+++ b/src/gateway/CallerConnection.h
@@ -13,26 +13,26 @@
 
 class CallerConnection;
 
-/** What a caller's connection tells its owner, on the relay thread. */
+/** Receives the events of callers' connections, on the relay thread. */
 class CallerConnectionOwner
 {
 public:
   virtual ~CallerConnectionOwner() = default;
   virtual void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                          CallerRequest aRequest) = 0;
-  /** The caller left while its request was being served. */
+  /** The caller disconnected while its request was being served. */
   virtual void OnDisconnected(CallerConnection& aConnection) = 0;
   virtual void OnClosed(CallerConnection& aConnection) = 0;
-  /** A request that was refused before it was whole; for the log. */
+  /** A request was rejected before it was complete; for logs and counters. */
   virtual void OnMalformed(unsigned aStatus, const std::string& aReason) = 0;
   virtual CallerLimits Limits() const = 0;
   virtual TimePoint Now() const = 0;
 };
 
 /**
- * One connection from a caller: reads one request after the other, whole, and
- * writes their answers. Strict about framing: what could be read in two ways
- * is refused, and the connection ends.
+ * One connection from a caller. Reads complete requests one after another and
+ * writes their responses. Rejects ambiguous framing and then closes the
+ * connection.
  */
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
@@ -40,20 +40,21 @@
   CallerConnection(http::Tcp::socket aSocket, CallerConnectionOwner& aOwner);
 
   void Run();
-  /** Sends a whole answer. */
+  /** Sends a complete response. */
   void SendResponse(std::string_view aBytes, bool aKeepAlive);
-  /** Sends the head of a chunked answer. */
+  /** Sends the head of a chunked response. */
   void BeginChunked(std::string_view aHead);
   void SendChunk(std::string_view aBytes);
-  /** Ends a chunked answer. */
+  /** Sends the last chunk of a chunked response. */
   void FinishChunked(bool aKeepAlive);
-  /** Ends the connection; an answer under way shows that it is not whole. */
+  /** Closes the connection. The missing end of a response in progress shows
+   * the caller that it is incomplete. */
   void Abort();
 
-  /** Returns true iff no request is read or served. */
+  /** Returns true iff no request is being read or served. */
   bool IsIdle() const;
   std::size_t QueuedBytes() const { return mPending.size() + mWriting.size(); }
-  /** Ends a connection that was idle, or slow to send, for too long. */
+  /** Closes the connection if its idle, header or body time-out has passed. */
   void Sweep(TimePoint aNow);
 
 private:
@@ -82,7 +83,8 @@
   bool mHeadChecked = false;
   bool mClosed = false;
   bool mClosing = false;
-  /** The first byte of the present request; idle since, without one. */
+  /** When the first byte of the current request came, or, without a request,
+   * when the connection became idle. */
   TimePoint mRequestOrIdleSince;
   std::string mPending;
   std::string mWriting;
--- a/src/gateway/EventSplitter.cpp
+++ b/src/gateway/EventSplitter.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Returns where the last whole event ends, or 0. */
+/** Returns the end of the last complete event, or 0 if there is none. */
 std::size_t
 EndOfEvents(std::string_view aText)
 {
--- a/src/gateway/EventSplitter.h
+++ b/src/gateway/EventSplitter.h
@@ -6,19 +6,19 @@
 namespace peridotspool::gateway {
 
 /**
- * Cuts the bytes of an event stream into whole events. An upstream may stop in
- * the middle of one; what a caller has of a stream must end between two, so
- * that another upstream can go on.
+ * Splits the bytes of an event stream into complete events. An upstream may
+ * fail in the middle of an event. Callers are sent complete events only, so
+ * that another upstream can resume the stream after the last one.
  */
 class EventSplitter
 {
 public:
-  /** Takes bytes and returns the whole events that they complete. */
+  /** Appends bytes and returns the events that are complete now. */
   std::string Append(std::string_view aBytes);
-  /** Bytes of an event that isn't whole. */
+  /** Bytes of the event that is not complete yet. */
   const std::string& Incomplete() const { return mIncomplete; }
   void DropIncomplete() { mIncomplete.clear(); }
-  /** The id of the last whole event; empty before the first with one. */
+  /** The last id of a complete event; empty before the first one. */
   const std::string& LastId() const { return mLastId; }
 
 private:
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -13,9 +13,9 @@
 using observe::EventId;
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
-/** Too little time for another upstream to do anything with. */
+/** With less time left, another upstream could not do anything useful. */
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
-/** Prompts below this many tokens delay nobody at an engine. */
+/** Prompts with fewer tokens do not delay other requests at an engine. */
 constexpr std::uint64_t kSmallPromptTokens = 3000;
 constexpr double kShortRetryAfterSeconds = 0.3;
 
--- a/src/gateway/Exchange.h
+++ b/src/gateway/Exchange.h
@@ -15,9 +15,10 @@
 namespace peridotspool::gateway {
 
 /**
- * The life of one caller's request: its route, the upstreams that it is sent
- * to, and its one answer. Decisions are AttemptPolicy's and UpstreamBoard's;
- * this carries them out on the two connections.
+ * Serves one caller's request: finds its route, sends it to one or more
+ * upstreams and relays exactly one response. AttemptPolicy and UpstreamBoard
+ * decide; this class applies their decisions to the caller's and the
+ * upstream's connection.
  */
 class Exchange
   : public UpstreamListener
@@ -28,10 +29,10 @@
            std::shared_ptr<CallerConnection> aCaller,
            CallerRequest aRequest);
 
-  /** Called once when the exchange is over. */
+  /** Sets a function that is called once when the exchange has ended. */
   void SetOnEnded(std::function<void()> aCall) { mOnEnded = std::move(aCall); }
   void Start();
-  /** The caller left. */
+  /** Called when the caller has disconnected. */
   void Cancel();
 
   bool OnHead(ResponseHead aHead) override;
@@ -120,26 +121,27 @@
   UpstreamName mUpstream;
   Address mUpstreamAddress;
   VersionName mVersion;
-  /** Why it goes to upstreams of these versions, for the log. */
+  /** Why these versions of the service were chosen; for the log. */
   const char* mVersionReason = "";
-  /** Pieces of its stream from the present upstream. */
+  /** Number of batches of events that the current upstream has sent. */
   std::uint64_t mEventBatches = 0;
   TimePoint mFirstBatchAt;
   SentRequest mSent;
   std::uint64_t mQuotaTag = 0;
-  /** The gate's tag that it waits under; 0 for none. */
+  /** Tag of the pending request for a permit; 0 for none. */
   std::uint64_t mGateTag = 0;
-  /** The turn of its content, until its run has ended; 0 for none. */
+  /** Permit to run a quarantined content, held until the run ends; 0 for none.
+   */
   std::uint64_t mPermit = 0;
   TimePoint mGateWaitStart;
-  /** The inquiry that it waits for; 0 for none. */
+  /** Tag of the pending load query; 0 for none. */
   std::uint64_t mLoadQueryTag = 0;
   TimePoint mLoadQueriedAt;
   Duration mLoadQueryTook{ 0 };
-  /** Who keeps account of the send under way. */
+  /** The load coordinator of the upstream that runs the request. */
   std::optional<Address> mCoordinator;
   std::uint64_t mLoadSendId = 0;
-  /** It counts against its customer's limit. */
+  /** The request has been counted against its customer's limit. */
   bool mGranted = false;
   QuotaReceipt mReceipt;
   bool mCounted = false;
@@ -150,7 +152,7 @@
   EventSplitter mEvents;
   bool mWaitingForStartup = false;
   bool mIsStream = false;
-  /** The head of the answer is on its way to the caller. */
+  /** The head of the response has been sent to the caller. */
   bool mBegun = false;
   TimePoint mFirstEventAt;
   TimePoint mLastEventAt;
--- a/src/gateway/ExchangeEnd.cpp
+++ b/src/gateway/ExchangeEnd.cpp
@@ -1,4 +1,4 @@
-// How a request ends, or goes on at another upstream.
+// End of a request, or its retry at another upstream.
 
 #include "gateway/Exchange.h"
 
@@ -25,7 +25,7 @@
 void
 Exchange::RetryElsewhere(CounterId aRetry)
 {
-  // What never reached an upstream is no repeat for it.
+  // A send that never reached an upstream is not charged to the retry budget.
   const bool free = mRuns == 0 && aRetry == CounterId::kRetryConnectionBroken;
   if (free || mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
     mCore.mCounters.Add(aRetry);
--- a/src/gateway/ExchangeQuarantine.cpp
+++ b/src/gateway/ExchangeQuarantine.cpp
@@ -1,4 +1,4 @@
-// A request whose content has ended upstreams.
+// Quarantine of requests whose content has crashed upstreams.
 
 #include "gateway/Exchange.h"
 
@@ -12,9 +12,10 @@
 using observe::EventId;
 using routing::GateOutcome;
 
-/** The content is refused for as long as it comes; each return is in vain. */
+/** The content stays refused as long as it is resubmitted, so an early retry is
+ * useless. */
 constexpr double kQuarantinedRetryAfterSeconds = 60.0;
-/** By then another request of the content has shown what it does. */
+/** By then another request with the content has shown its effect. */
 constexpr double kNoPermitRetryAfterSeconds = 1.0;
 
 constexpr unsigned kBadGateway = 502;
@@ -22,8 +23,8 @@
 
 } // namespace
 
-// Returns true iff it may be sent now; OnGateOutcome follows where it has to
-// wait.
+// Returns true iff the request may be sent now. If it has to wait for the
+// leader's permit, OnGateOutcome is called later.
 bool
 Exchange::RequestPermit()
 {
@@ -57,17 +58,18 @@
   mGateTag = 0;
   if (aOutcome == GateOutcome::kHasTurn) {
     mPermit = aTag;
-    LogPermit("has it");
+    LogPermit("granted");
     ResumeAfterGate();
   } else if (aOutcome == GateOutcome::kGoes) {
     ResumeAfterGate();
   } else {
-    LogPermit("waited in vain");
+    LogPermit("not granted");
     RefuseQuarantined(aOutcome);
   }
 }
 
-// Whoever runs beside it may lose an answer by it: it goes where least runs.
+// A request with a permit may crash its upstream and lose the responses of all
+// requests that run there, so the least loaded upstream is preferred.
 void
 Exchange::ResumeAfterGate()
 {
@@ -133,8 +135,8 @@
   }
 }
 
-// An upstream has answered it and goes on: whatever ended others was not the
-// content.
+// An upstream has responded and goes on running, so the content has not crashed
+// it.
 void
 Exchange::RecordAnswered()
 {
--- a/src/gateway/ExchangeQuota.cpp
+++ b/src/gateway/ExchangeQuota.cpp
@@ -1,4 +1,4 @@
-// What a request counts against its customer's limit.
+// Accounting of a request against its customer's limit.
 
 #include "gateway/Exchange.h"
 #include "peridotspool/gateway/TokenCounts.h"
@@ -20,7 +20,8 @@
 
 } // namespace
 
-// A request counts by the sum of its prompt and the most that it may generate.
+// Where tokens are limited, a request counts its prompt tokens plus the maximum
+// of tokens that it may generate.
 double
 Exchange::Units() const
 {
--- a/src/gateway/ExchangeResponse.cpp
+++ b/src/gateway/ExchangeResponse.cpp
@@ -1,4 +1,4 @@
-// What an upstream answers, and how it reaches the caller.
+// Handling of an upstream's response and its relay to the caller.
 
 #include "gateway/Exchange.h"
 #include "gateway/IncarnationProbe.h"
@@ -13,10 +13,11 @@
 using observe::CounterId;
 using observe::EventId;
 
-/** A whole answer larger than this is not held, and so fails. */
+/** A buffered response larger than this fails the request. */
 constexpr std::size_t kMaxHeldBytes = 8U << 20;
 constexpr Duration kSlowCallerCheckPeriod = std::chrono::milliseconds(5);
-/** Bytes that may wait for a slow caller before its upstream has to. */
+/** Bytes that may be queued for a slow caller before reading from its upstream
+ * is paused. */
 constexpr std::size_t kMaxQueuedBytes = 256U << 10;
 
 constexpr unsigned kMisdirected = 421;
@@ -56,9 +57,9 @@
          !FieldOf(mHead.mFields, mCore.mNames.mNotRun).empty();
 }
 
-// Upstreams echo the request's id. An answer that comes late, on a connection
-// that already carries the next request, is known by it; without this check
-// one caller would get another one's answer.
+// Upstreams echo the request's id, which identifies a late response on a
+// connection that already carries the next request. Without this check one
+// caller would get another caller's response.
 bool
 Exchange::OnHead(ResponseHead aHead)
 {
@@ -126,8 +127,8 @@
   WaitForCaller();
 }
 
-// A caller that reads slowly must not fill this instance's memory: its upstream
-// waits, and with it only this one request.
+// A caller that reads slowly must not fill this instance's memory. Reading from
+// its upstream is paused, which delays no other request.
 void
 Exchange::WaitForCaller()
 {
@@ -219,8 +220,9 @@
   End(mHead.mStatus, "whole");
 }
 
-// What ended may be the connection, or the upstream. One that said that it
-// leaves may end at any time and loses nothing by what it ran.
+// Either the connection or the upstream process may have ended. An upstream
+// that has announced its leave may end at any time, so its end is not reported
+// as a crash.
 void
 Exchange::RecordConnectionLoss(const ConnectionFailure& aFailure)
 {
@@ -272,4 +274,5 @@
                 "the upstream's answer was lost",
                 CounterId::kRetryConnectionBroken);
 }
+
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -1,4 +1,4 @@
-// How a request begins: may it be served, by whom, and until when.
+// Start of a request: admission, choice of a service, and deadline.
 
 #include "gateway/Exchange.h"
 
@@ -15,7 +15,7 @@
 
 using observe::CounterId;
 
-/** Another entry is as good at once. */
+/** Another entry can serve the request immediately. */
 constexpr double kStoppingRetryAfterSeconds = 0.05;
 constexpr double kNoSettingsRetryAfterSeconds = 1.0;
 
@@ -25,8 +25,9 @@
 
 } // namespace
 
-// Returns true iff the exchange waits for what the process lacks yet:
-// ResumeAfterStartup follows when something has come, or the wait is over.
+// Returns true iff the exchange waits for settings or updates that the process
+// has not received yet. ResumeAfterStartup is called when some have come, or
+// when the wait has timed out.
 bool
 Exchange::WaitForStartup()
 {
@@ -148,7 +149,7 @@
   for (const ServiceShare& share : mRoute->mShares) {
     total += share.mWeight;
   }
-  // A checked table has no route without weight.
+  // A validated table has no route with a total weight of 0.
   PERIDOTSPOOL_INVARIANT(total > 0);
   mSelectionQuery.mSeed = XXH3_64bits(mId.data(), mId.size());
   std::uint64_t place = mSelectionQuery.mSeed % total;
@@ -161,4 +162,5 @@
   }
   mSelectionQuery.mService = mService;
 }
+
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeVersion.cpp
+++ b/src/gateway/ExchangeVersion.cpp
@@ -1,4 +1,4 @@
-// Which version of its service a request goes to, and what its answer shows.
+// Choice of the service's version for a request, and reports of its results.
 
 #include "gateway/Exchange.h"
 
@@ -8,9 +8,10 @@
 
 namespace {
 
-/** Fewer gaps between a stream's events say nothing of its pace. */
+/** With fewer gaps between events, a stream's pace is not representative. */
 constexpr std::uint64_t kMinGaps = 3;
-/** A caller that left after so many times the objective waited in vain. */
+/** A response is overdue after this many times the route's latency objective.
+ */
 constexpr int kOverdueFactor = 2;
 
 double
@@ -22,7 +23,7 @@
 
 } // namespace
 
-// A second look for the same send keeps to the version of the first one.
+// A second selection for the same send keeps the version of the first one.
 void
 Exchange::ChooseVersion()
 {
@@ -53,9 +54,9 @@
            .mTook = mCore.mNow() - mSent.mSentAt };
 }
 
-// The time to the first event depends on what the engine keeps of the prompt,
-// of which an engine that has just started keeps nothing: it is compared with
-// the time that the whole prompt takes to read.
+// The time to the first event depends on how much of the prompt the engine has
+// cached, and an engine that has just started has nothing cached. The time is
+// therefore divided by the time that an uncached prompt takes.
 void
 Exchange::RecordVersionAnswer(bool aFailed)
 {
@@ -77,7 +78,8 @@
   mCore.mRollouts.NoteAnswer(answer);
 }
 
-// An answer that doesn't come is as slow as it was waited for.
+// A response that has not come when the wait ends counts as one that took as
+// long as the wait. Waits shorter than kOverdueFactor objectives are ignored.
 void
 Exchange::RecordOverdueAnswer()
 {
--- a/src/gateway/Gateway.cpp
+++ b/src/gateway/Gateway.cpp
@@ -59,7 +59,7 @@
         return;
       }
       if (aError) {
-        // Out of descriptors, most likely: at once again would spin.
+        // Probably out of descriptors; accepting again at once would busy-loop.
         mAcceptTimer.expires_after(kAcceptBackoff);
         mAcceptTimer.async_wait([this](http::ErrorCode aCancelled) {
           if (!aCancelled) {
@@ -87,8 +87,8 @@
   CallerConnection* const connection = aConnection.get();
   mExchanges[connection] = exchange;
   exchange->SetOnEnded([this, connection, weak = std::weak_ptr(exchange)] {
-    // Not at once: the exchange is still running. The connection may have begun
-    // its next one by then.
+    // Deferred, because the exchange's code is still running. By then the
+    // connection may have started its next exchange.
     net::post(mCore.mIo, [this, connection, exchange = weak.lock()] {
       const auto found = mExchanges.find(connection);
       if (found != mExchanges.end() && found->second == exchange) {
@@ -152,8 +152,9 @@
   mCore.mPool.Sweep(aNow);
 }
 
-// An exchange is over when its answer's last bytes are queued. A process that
-// ended then would cut the answer of a caller that reads slowly.
+// An exchange ends when the last bytes of its response are queued. If the
+// process exited then, a caller that reads slowly would get a truncated
+// response.
 bool
 Gateway::IsQuiet() const
 {
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -18,23 +18,25 @@
 };
 
 /**
- * Takes callers' connections and starts an exchange for each request. Lives on
- * the relay thread.
+ * Accepts callers' connections and starts an exchange for each request. Used on
+ * the relay thread only.
  */
 class Gateway : public CallerConnectionOwner
 {
 public:
   Gateway(GatewayCore& aCore, GatewayOptions aOptions);
 
-  /** Listens; false with the reason if it can't. */
+  /** Starts listening; returns false and sets the reason on failure. */
   bool Start(LastReason& aReason);
-  /** About every 100 ms: what was idle, or slow to send, for too long. */
+  /** Closes connections whose time-outs have passed. Called every 50 ms;
+   * acts every 500 ms. */
   void Sweep(TimePoint aNow);
   void StopAccepting();
-  /** Ends connections without a request under way. */
+  /** Closes connections without a request in progress. */
   void CloseIdle();
 
-  /** No request is served, and callers were sent all that they are owed. */
+  /** Returns true iff no request is being served and all responses have been
+   * written. */
   bool IsQuiet() const;
   std::size_t Exchanges() const { return mExchanges.size(); }
   std::size_t Connections() const { return mConnections.size(); }
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/** Contents named in one log line. */
+/** Bounds the contents named in one log line. */
 constexpr std::size_t kMaxLoggedContents = 8;
-/** Contents named in one report; the others' turn comes with the next. */
+/** Bounds the contents named in one report. Others are reported when they are
+ * resubmitted later. */
 constexpr std::size_t kMaxResubmitted = 16;
 
 std::string
@@ -36,15 +37,15 @@
 GatewayCore::OnUpstreamEnded(const routing::EndedLife& aEnded)
 {
   mCounters.Add(observe::CounterId::kUpstreamEnded);
-  mLogger.Log(
-    observe::EventId::kUpstreamEnded,
-    { { "upstream", aEnded.mLife.mName },
-      { "incarnation", aEnded.mLife.mIncarnation },
-      { "shown_by",
-        aEnded.mShownBy == routing::EndShownBy::kNextLife ? "its next life"
-                                                          : "a refusal" },
-      { "lost", aEnded.mLost.size() },
-      { "contents", ContentsOf(aEnded) } });
+  mLogger.Log(observe::EventId::kUpstreamEnded,
+              { { "upstream", aEnded.mLife.mName },
+                { "incarnation", aEnded.mLife.mIncarnation },
+                { "shown_by",
+                  aEnded.mShownBy == routing::EndShownBy::kNextLife
+                    ? "its next incarnation"
+                    : "a refused connection" },
+                { "lost", aEnded.mLost.size() },
+                { "contents", ContentsOf(aEnded) } });
   mCrashes.Add(aEnded);
   ReportCrashes();
 }
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -32,15 +32,17 @@
 
 namespace peridotspool::gateway {
 
-/** How an exchange goes on that waits for keepers' word. */
+/** An exchange that waits for load coordinators' responses. */
 struct LoadWaiter
 {
-  /** Takes what a keeper knows of one upstream. */
+  /** Receives the load of one upstream. */
   std::function<void(const LoadLine&)> mOnLoad;
+  /** Called once all load coordinators have responded. */
   std::function<void()> mResume;
 };
 
-/** What all exchanges of one entry share; lives on the relay thread. */
+/** State that all exchanges of an entry share; used on the relay thread only.
+ */
 struct GatewayCore
 {
   http::net::io_context& mIo;
@@ -53,45 +55,47 @@
   std::function<TimePoint()> mNow;
   QuotaGate mQuota;
   UsageTally mUsage;
-  /** Sends to the leader; dropped where none is known. */
+  /** Sends a message to the leader; drops it if no leader is known. */
   std::function<void(SharedMessage)> mSendToLeader;
   KeeperMap mKeepers;
-  /** The upstreams that this entry keeps account of. */
+  /** Tracks the load of the upstreams that this entry coordinates. */
   LoadKeeper mCoordinator;
   LoadInquiries mLoadQueries;
-  /** Sends to another entry; what is for this one is taken at once. */
+  /** Sends a message to an entry; one to this entry is handled at once. */
   std::function<void(const Address&, SharedMessage)> mSendToEntry;
-  /** Distinguishes the sends of this process from those of others. */
+  /** Id of the last request sent. Starts at a random number, so that ids of
+   * this process differ from those of others. */
   std::uint64_t mLastSendId = 0;
-  /** The own time of day, in microseconds. */
+  /** Reads the local wall clock in microseconds. */
   std::function<std::int64_t()> mWallClock;
-  /** Exchanges that wait for the leader's word, by the gate's tag. */
+  /** Exchanges that wait for the leader's quota decision, by its tag. */
   std::unordered_map<std::uint64_t, std::function<void(const QuotaDecided&)>>
     mQuotaWaiters;
-  /** Exchanges that wait for keepers' word, by the inquiry's tag. */
+  /** Exchanges that wait for load coordinators, by the query's tag. */
   std::unordered_map<std::uint64_t, LoadWaiter> mLoadWaiters;
   StartupPolicy mStartupPolicy;
-  /** Goes on with the exchanges that wait for settings or an upstream. */
+  /** Resume the exchanges that wait for settings or for an upstream. */
   std::vector<std::function<void()>> mStartupWaiters;
-  /** Null until the first settings have come. */
+  /** Null until the first settings have been received. */
   std::shared_ptr<const RouteTable> mTable;
-  /** The process was told to stop: answers end their connections. */
+  /** The process is stopping; each response closes its connection. */
   bool mStopping = false;
-  /** Set once it was told to. */
+  /** Set once the process is stopping. */
   std::optional<ShutdownPolicy> mShutdownPolicy;
-  /** Requests are refused: the process is about to end. */
+  /** Requests are refused because the process is about to exit. */
   bool mRefusing = false;
   routing::CrashWitness mWitness;
   routing::CrashReporter mCrashes;
   routing::QuarantineGate mGate;
-  /** Exchanges that wait at the gate, by its tag. */
+  /** Exchanges that wait for the quarantine gate, by its tag. */
   std::unordered_map<std::uint64_t, std::function<void(routing::GateOutcome)>>
     mGateWaiters;
-  /** Contents refused since the last report to the leader. */
+  /** Quarantined contents refused since the last report to the leader. */
   std::set<ContentId> mCameAgain;
   rollout::RolloutGate mRollouts;
 
-  /** A keeper has answered. */
+  /** Applies a load coordinator's response and resumes the exchange that
+   * waited for it, once it was the last one due. */
   void HandleLoadResponse(const LoadTold& aTold)
   {
     const auto asking = mLoadWaiters.find(aTold.mTag);
@@ -108,14 +112,15 @@
     }
   }
 
-  /** Nobody listens any more where a life of an upstream did. */
+  /** A connection to the address of an upstream's incarnation was refused. */
   void OnConnectionRefused(const routing::UpstreamLife& aLife);
+  /** Logs and reports the end of an upstream's incarnation. */
   void OnUpstreamEnded(const routing::EndedLife& aEnded);
-  /** A request of a content that isn't run any more was refused. */
+  /** Records that a request with a quarantined content was refused. */
   void RecordResubmitted(const ContentId& aContent);
-  /** Tells the leader which ends it hasn't heard of. */
+  /** Reports crashes to the leader that it has not confirmed yet. */
   void ReportCrashes();
-  /** About every 50 ms. */
+  /** Advances the quarantine gate and crash reports; called every 50 ms. */
   void TickGate();
   void HandleQuarantineUpdate(const routing::QuarantineTold& aTold);
   void HandleRolloutUpdate(const rollout::RolloutUpdate& aUpdate);
@@ -123,7 +128,8 @@
   void HandleGateDecision(const routing::GateDecided& aDecided);
   void ApplyGateTick(const routing::GateTick& aTick);
 
-  /** Something that a starting process lacked has come. */
+  /** Resumes exchanges that wait for startup; called when settings or upstreams
+   * have been received. */
   void ResumeStartupWaiters()
   {
     for (const auto& goOn : std::exchange(mStartupWaiters, {})) {
--- a/src/gateway/HeaderRules.cpp
+++ b/src/gateway/HeaderRules.cpp
@@ -35,7 +35,8 @@
   aText.append(aName).append(": ").append(aValue).append("\r\n");
 }
 
-/** Fields that the gateway sets or drops in a request to an upstream. */
+/** Returns true iff the gateway sets or removes the field in a request to an
+ * upstream. */
 bool
 IsSetByGateway(std::string_view aName, const HeaderNames& aNames)
 {
--- a/src/gateway/IncarnationProbe.cpp
+++ b/src/gateway/IncarnationProbe.cpp
@@ -10,7 +10,8 @@
 
 namespace net = http::net;
 
-/** A process that is gone refuses at once; silence shows nothing. */
+/** The address of a process that has ended refuses at once. A time-out is
+ * inconclusive. */
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
 struct Probe
--- a/src/gateway/IncarnationProbe.h
+++ b/src/gateway/IncarnationProbe.h
@@ -7,8 +7,9 @@
 namespace peridotspool::gateway {
 
 /**
- * Tries one connection to the address of an upstream that lost an answer, and
- * tells the witness whether anybody listens there. Nothing is sent on it.
+ * Opens one connection to the address of an upstream whose response was lost,
+ * and reports to the crash witness whether it was accepted or refused. Sends
+ * nothing on it.
  */
 void
 ProbeIncarnation(GatewayCore& aCore,
--- a/src/gateway/ShutdownPolicy.cpp
+++ b/src/gateway/ShutdownPolicy.cpp
@@ -9,8 +9,9 @@
 {
 }
 
-// An answer may come, or still be on its way to a caller that reads slowly,
-// until the very end of the grace: an earlier end would cut it for nothing.
+// Until the end of the grace period a response may still arrive, or be on its
+// way to a caller that reads slowly. Exiting earlier would truncate it
+// needlessly.
 ShutdownStage
 ShutdownPolicy::Step(bool aQuiet, TimePoint aNow)
 {
--- a/src/gateway/SocketOptions.cpp
+++ b/src/gateway/SocketOptions.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Sent bytes that stay unconfirmed for this long end a connection. */
+/** A connection is closed if sent bytes stay unacknowledged for this long. */
 constexpr int kUnacknowledgedTimeoutMs = 4000;
 
 } // namespace
--- a/src/gateway/SocketOptions.h
+++ b/src/gateway/SocketOptions.h
@@ -5,13 +5,13 @@
 namespace peridotspool::gateway {
 
 /**
- * Small writes leave at once, and a connection whose other end has gone silent
- * ends by itself: without that, what is sent on it waits for minutes.
+ * Disables Nagle's algorithm and sets TCP_USER_TIMEOUT. Without the latter,
+ * data sent to a peer that does not respond any more waits for minutes.
  */
 void
 SetSocketOptions(http::Tcp::socket& aSocket);
 
-/** Returns true iff the other end has closed, or sent what nobody asked for. */
+/** Returns true iff the peer has closed the connection or data can be read. */
 bool
 HasEofOrData(http::Tcp::socket& aSocket);
 
--- a/src/gateway/StartupPolicy.cpp
+++ b/src/gateway/StartupPolicy.cpp
@@ -9,11 +9,12 @@
 {
 }
 
-// When all processes were killed at once they are back before a leader has been
-// elected. A request refused then comes back after its latency objective, and
-// once more while there are still no settings; half a second later it could
-// have been served. An entry that has been up for longer and has no settings is
-// cut off, and waiting would only make its refusals late.
+// When all processes are killed at once, entries restart before a leader has
+// been elected. A request refused then is retried after its latency objective,
+// and may be refused again because there are still no settings, although it
+// could have been served half a second later. An entry that has been running
+// for longer and has no settings is partitioned from control; waiting would
+// only delay its refusals.
 std::optional<Duration>
 StartupPolicy::RemainingWait(TimePoint aArrivedAt, TimePoint aNow) const
 {
@@ -36,10 +37,11 @@
   mAllReported = mAllReported || (aOf > 0 && aHeard >= aOf);
 }
 
-// Each replica tells of the upstreams that speak to it alone. A process that
-// took the first one's word for all sent what had waited to the one upstream
-// that it knew: 12 requests within 50 ms, whose first events came after 1.0 to
-// 2.9 s. The others' words are a few milliseconds behind.
+// Each control replica reports only the upstreams that are registered with it.
+// If the first update were taken as complete, all waiting requests would go to
+// the few upstreams in it: with one known upstream, 12 requests within 50 ms
+// got their first events after 1.0 to 2.9 s. The other replicas' updates follow
+// within a few milliseconds.
 bool
 StartupPolicy::HasEnoughUpdates(TimePoint aNow) const
 {
--- a/src/gateway/UpstreamConnection.cpp
+++ b/src/gateway/UpstreamConnection.cpp
@@ -17,10 +17,11 @@
 
 constexpr std::size_t kReadBytes = 8U << 10;
 constexpr std::uint32_t kHeaderBytes = 64U << 10;
-/** Late answers to earlier requests that are skipped on one connection. */
+/** Bounds the late responses to earlier requests that are skipped before one
+ * response. */
 constexpr std::size_t kMaxSkippedResponses = 4;
 
-/** Reads "timeout=N" of a Keep-Alive field. */
+/** Parses "timeout=N" of a Keep-Alive field. */
 std::optional<Duration>
 ParseKeepAlive(std::string_view aValue)
 {
@@ -58,14 +59,15 @@
   http::ErrorCode error;
   const auto host = net::ip::make_address(aAddress.mHost, error);
   if (error) {
-    net::post(mSocket.get_executor(),
-              [self = shared_from_this()] { self->Fail("no IP number"); });
+    net::post(mSocket.get_executor(), [self = shared_from_this()] {
+      self->Fail("invalid IP address");
+    });
     return;
   }
   mTimer.expires_after(aTimeout);
   mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
     if (!aError) {
-      self->Fail("connecting took too long");
+      self->Fail("connect timed out");
     }
   });
   mSocket.async_connect(http::Tcp::endpoint(host, aAddress.mPort),
@@ -114,8 +116,8 @@
   mPaused = false;
 }
 
-// The whole request is written even when its answer comes first: where the
-// rest of a body is due, the upstream would take other bytes for it.
+// The whole request is written even if its response comes first. Otherwise the
+// upstream would read the bytes of the next request as the rest of the body.
 void
 UpstreamConnection::WriteRequest()
 {
@@ -167,8 +169,7 @@
   }
   mBuffer.commit(aBytes);
   if (mListener == nullptr) {
-    // Nobody asked for these bytes: whatever they are, they could pass for the
-    // answer to the next request.
+    // Unsolicited bytes could be taken for the response to the next request.
     Close();
     return;
   }
@@ -176,8 +177,9 @@
   Read();
 }
 
-// An answer without a length ends with its connection; one that was reset may
-// lack its end and must not pass for whole.
+// A response without a length ends with its connection. If the connection was
+// reset instead of closed, the response may be truncated and must not be
+// treated as complete.
 void
 UpstreamConnection::OnReadEnd(http::ErrorCode aError)
 {
@@ -207,7 +209,7 @@
     const std::size_t used = mParser->put(mBuffer.data(), error);
     mBuffer.consume(used);
     if (error && error != beast_http::error::need_more) {
-      Fail("not an answer: " + error.message());
+      Fail("malformed response: " + error.message());
       return;
     }
     if (mParser->is_header_done() && !mHeadReported && !HandleHead()) {
@@ -246,7 +248,7 @@
   mAdvertisedIdleTimeout = ParseKeepAlive(FieldOf(head.mFields, "keep-alive"));
   mSkipping = !mListener->OnHead(std::move(head));
   if (mSkipping && ++mSkipped > kMaxSkippedResponses) {
-    Fail("too many answers that nobody asked for");
+    Fail("too many responses to other requests");
   }
   return !mClosed && mListener != nullptr;
 }
--- a/src/gateway/UpstreamConnection.h
+++ b/src/gateway/UpstreamConnection.h
@@ -13,34 +13,36 @@
 
 namespace peridotspool::gateway {
 
-/** How a connection to an upstream failed a request. */
+/** Why a connection to an upstream failed during a request. */
 struct ConnectionFailure
 {
   std::string mReason;
-  /** False proves that the upstream never saw the request. */
+  /** If false, the upstream has certainly not received the request. */
   bool mMayHaveBeenSent = true;
   /** The connection had served an earlier request. */
   bool mReused = false;
-  /** Nobody listens at the upstream's address. */
+  /** The upstream's address refused the connection. */
   bool mRefused = false;
 };
 
-/** What a request's connection to an upstream tells, on the relay thread. */
+/** Receives the events of a request's upstream connection, on the relay
+ * thread. */
 class UpstreamListener
 {
 public:
   virtual ~UpstreamListener() = default;
-  /** Returns false iff the answer belongs to another request: skip it. */
+  /** Returns false iff the response belongs to another request and is to be
+   * skipped. */
   virtual bool OnHead(ResponseHead aHead) = 0;
   virtual void OnBody(std::string aBytes) = 0;
-  /** The answer is whole. */
+  /** The response is complete. */
   virtual void OnEnd() = 0;
   virtual void OnConnectionFailed(const ConnectionFailure& aFailure) = 0;
 };
 
 /**
- * One connection to one upstream, for one request at a time. A listener hears
- * of it until the request has ended or the connection is dropped, and nothing
+ * One connection to one upstream, for one request at a time. Its listener is
+ * called until the request has ended or the connection is dropped, and not
  * after that.
  */
 class UpstreamConnection
@@ -49,24 +51,28 @@
 public:
   UpstreamConnection(http::net::io_context& aIo, UpstreamName aName);
 
-  /** Connects, and sends a request right after. */
+  /** Connects and then sends a request. */
   void Open(const Address& aAddress,
             Duration aTimeout,
             std::string aRequest,
             UpstreamListener* aListener);
-  /** Sends a further request on a connection that is idle. */
+  /** Sends another request on an idle connection. */
   void Send(std::string aRequest, UpstreamListener* aListener);
-  /** Ends the connection without a word to the listener. */
+  /** Closes the connection without calling the listener. */
   void Drop();
+  /** Stops reading until Resume is called. */
   void Pause() { mPaused = true; }
   void Resume();
 
   const UpstreamName& Name() const { return mName; }
-  /** Returns true iff another request may be sent on it. */
+  /** Returns true iff the connection can carry another request, judged by what
+   * has been read from it. */
   bool IsReusable() const;
-  /** Returns true iff it is open and as idle as it should be. */
+  /** Returns true iff it is reusable and the peer has neither closed it nor
+   * sent unexpected data. */
   bool IsStillOpen();
-  /** How long the upstream keeps it open while idle; empty if it won't say. */
+  /** The idle time-out that the upstream announced in Keep-Alive; empty if it
+   * announced none. */
   std::optional<Duration> AdvertisedIdleTimeout() const
   {
     return mAdvertisedIdleTimeout;
--- a/src/gateway/UpstreamConnectionPool.cpp
+++ b/src/gateway/UpstreamConnectionPool.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-/** Kept for this long when the upstream does not say how long it keeps it. */
+/** Used if the upstream announces no idle time-out. */
 constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(20);
-/** An upstream's own timeout is not used up to its end: a request that crosses
- * its close may have run or not. */
+/** Connections expire this long before the upstream's idle time-out. If a
+ * request crossed the upstream's close, it would be unknown whether it ran. */
 constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(700);
 constexpr std::size_t kMaxIdleConnections = 32;
 
@@ -20,7 +20,7 @@
   if (found == mIdle.end()) {
     return nullptr;
   }
-  // The one used last: the others run into their timeouts and end.
+  // Uses the most recently used connection, so that the others expire.
   auto& idle = found->second;
   while (!idle.empty()) {
     Idle one = std::move(idle.back());
--- a/src/gateway/UpstreamConnectionPool.h
+++ b/src/gateway/UpstreamConnectionPool.h
@@ -9,18 +9,19 @@
 
 namespace peridotspool::gateway {
 
-/** Idle connections to upstreams, kept for the next request. */
+/** Idle connections to upstreams for reuse by later requests. */
 class UpstreamConnectionPool
 {
 public:
-  /** Returns an idle connection that still stands, or null. */
+  /** Removes and returns an idle connection that is still open, or null. */
   std::shared_ptr<UpstreamConnection> Acquire(const UpstreamName& aName,
                                               TimePoint aNow);
-  /** Keeps a connection if another request may be sent on it. */
+  /** Adds a connection if it can be reused; otherwise closes it. */
   void Release(const std::shared_ptr<UpstreamConnection>& aConnection,
                TimePoint aNow);
-  /** Ends connections that the upstream is about to end. */
+  /** Closes connections that the upstream is about to close. */
   void Sweep(TimePoint aNow);
+  /** Closes all idle connections to an upstream. */
   void Remove(const UpstreamName& aName);
   std::size_t Size() const;
 
