--- a/test/gateway/EventSplitterTest.cpp
+++ b/test/gateway/EventSplitterTest.cpp
@@ -6,11 +6,11 @@
 
 namespace peridotspool::gateway {
 
-// Symptom: a resumed stream showed half an event and then a whole one.
-// Sequence: an upstream stopped in the middle of an event, and another one went
-// on after the last whole event.
-// Cause: bytes were handed on as they came.
-TEST_CASE("EventSplitterHandsOnWholeEventsOnly")
+// Guards against a resumed stream that contains part of an event before the
+// complete one. This happens if bytes are relayed as they come, an upstream
+// fails in the middle of an event, and another one resumes after the last
+// complete event.
+TEST_CASE("EventSplitterReturnsCompleteEventsOnly")
 {
   EventSplitter splitter;
   CHECK(splitter.Append("id: 1\ndata: a\n").empty());
@@ -24,7 +24,7 @@
   CHECK(splitter.LastId() == "2");
 }
 
-TEST_CASE("EventSplitterLosesNoByteHoweverTheBytesAreCut")
+TEST_CASE("EventSplitterPreservesAllBytesForAnySplit")
 {
   rc::prop("cuts", [] {
     std::string all;
--- a/test/gateway/ExchangeQuarantineTest.cpp
+++ b/test/gateway/ExchangeQuarantineTest.cpp
@@ -11,7 +11,7 @@
 
 using routing::QuarantineStage;
 
-/** The content of RequestText(aKind, any id, aBody). */
+/** Returns the content id of RequestText(aKind, any id, aBody). */
 ContentId
 ContentOfText(const std::string& aKind, const std::string& aBody)
 {
@@ -23,10 +23,11 @@
                      .mBody = aBody });
 }
 
+/** Sets the quarantine stage of a content at the gateway. */
 void
-List(GatewayFixture& aGateway,
-     const ContentId& aContent,
-     QuarantineStage aStage)
+SetStage(GatewayFixture& aGateway,
+         const ContentId& aContent,
+         QuarantineStage aStage)
 {
   aGateway.OnRelay([&] {
     const std::uint64_t known = aGateway.Core().mGate.Known();
@@ -37,7 +38,7 @@
   });
 }
 
-/** The last message of a type that the leader was told. */
+/** Returns the last message of a type that was sent to the leader. */
 template<typename Message>
 std::optional<Message>
 LastSent(GatewayFixture& aGateway)
@@ -53,13 +54,13 @@
 
 } // namespace
 
-TEST_CASE("ARefusedContentReachesNoUpstreamAndAllOthersDo")
+TEST_CASE("ARefusedContentReachesNoUpstreamAndOtherContentsDo")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
     [](const std::string&) { return Script{ WholeAnswer("answer") }; });
   gateway.Add("u", upstream.Where());
-  List(gateway, ContentOfText("once", "deadly"), QuarantineStage::kRefused);
+  SetStage(gateway, ContentOfText("once", "deadly"), QuarantineStage::kRefused);
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "deadly"));
   const std::string refused = caller.ReadAnswer();
@@ -71,14 +72,14 @@
   gateway.OnRelay([&] { CHECK(gateway.Core().mCameAgain.size() == 1); });
 }
 
-TEST_CASE("ASlowedContentWaitsForItsTurnAndItsAnswerIsTold")
+TEST_CASE("AThrottledContentWaitsForItsPermitAndItsResponseIsReported")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
     [](const std::string&) { return Script{ WholeAnswer("answer") }; });
   gateway.Add("u", upstream.Where());
   const ContentId content = ContentOfText("once", "suspect");
-  List(gateway, content, QuarantineStage::kOneAtATime);
+  SetStage(gateway, content, QuarantineStage::kOneAtATime);
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "suspect"));
   REQUIRE(Eventually(
@@ -94,13 +95,14 @@
         routing::TurnEnded{ content, ask.mTag, true });
 }
 
-TEST_CASE("WhatWaitsForATurnInVainHasNotRun")
+TEST_CASE("ARequestWithoutAPermitIsRefusedAndDoesNotRun")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
     [](const std::string&) { return Script{ WholeAnswer("answer") }; });
   gateway.Add("u", upstream.Where());
-  List(gateway, ContentOfText("once", "suspect"), QuarantineStage::kOneAtATime);
+  SetStage(
+    gateway, ContentOfText("once", "suspect"), QuarantineStage::kOneAtATime);
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "suspect"));
   const std::string answer = caller.ReadAnswer();
@@ -108,7 +110,7 @@
   CHECK(upstream.Requests().empty());
 }
 
-TEST_CASE("TheEndOfALifeIsToldWithTheContentsItRan")
+TEST_CASE("AnUpstreamCrashIsReportedWithTheContentsItRan")
 {
   GatewayFixture gateway;
   ScriptedUpstream* dying = nullptr;
@@ -129,9 +131,9 @@
   CHECK(report.mLines[0].mUpstream == UpstreamName("u"));
 }
 
-// A closed connection, a reset one and bytes that are no answer: the upstream
-// goes on all the same, and no content is held against it.
-TEST_CASE("AnUpstreamThatGoesOnHasNotEndedWhateverItDoesToConnections")
+// After a closed connection, a reset one, or a malformed response, the upstream
+// still accepts connections, so no crash is reported for the content.
+TEST_CASE("ALostConnectionToARunningUpstreamIsNotReportedAsACrash")
 {
   for (const auto& script : { Script{ "", Script::Then::kClose },
                               Script{ "", Script::Then::kReset },
@@ -142,14 +144,14 @@
     Caller caller(gateway.Where());
     caller.Send(RequestText("once", "g1"));
     CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
-    // The connection that is tried.
+    // The second connection is the probe.
     REQUIRE(Eventually([&] { return upstream.Connections() == 2; }));
     gateway.OnRelay([] {});
     CHECK(LastSent<routing::CrashReport>(gateway) == std::nullopt);
   }
 }
 
-TEST_CASE("AnUpstreamThatSaidThatItLeavesMayEnd")
+TEST_CASE("TheEndOfADrainingUpstreamIsNotReportedAsACrash")
 {
   GatewayFixture gateway;
   ScriptedUpstream* leaving = nullptr;
--- a/test/gateway/ExchangeStartTest.cpp
+++ b/test/gateway/ExchangeStartTest.cpp
@@ -7,15 +7,14 @@
 
 namespace peridotspool::gateway {
 
-// Symptom: after a restart of everything each first request is refused, comes
-// back a second later and is late.
-// Sequence: the request comes before the settings and the upstreams.
-// Cause: an entry that says no when it only has to wait for a moment.
+// Guards against refusals after a restart of all processes. Requests come
+// before settings and upstreams are known; if they were refused, they would be
+// retried a second later and be late.
 //
-// It waits for the list of contents that end upstreams as well: each entry that
-// is restarted would send such a request once more. So it does for the list of
-// rollouts, without which any version would get requests.
-TEST_CASE("ARequestInAnEntryThatHasJustStartedWaitsForWhatTheEntryLacks")
+// Requests also wait for the list of quarantined contents; otherwise each
+// restarted entry would send a crashing request once more. They wait for the
+// list of rollouts, without which any version could get requests.
+TEST_CASE("ARequestAtAStartingEntryWaitsForItsInitialState")
 {
   ScriptedUpstream upstream([](const std::string&) {
     return Script{ .mAnswer = WholeAnswer("later") };
@@ -35,13 +34,13 @@
   gateway.OnRelay([&] {
     gateway.Core().mTable = table;
     gateway.Core().ResumeStartupWaiters();
-    // Nothing that it lacks has come: it goes on waiting.
+    // Nothing new has been received, so the request keeps waiting.
     gateway.Core().ResumeStartupWaiters();
   });
   CHECK(upstream.Requests().empty());
   gateway.Add("u1", upstream.Where());
   gateway.OnRelay([&] {
-    // One of two replicas has told of its upstreams.
+    // One of two replicas has sent its upstreams.
     gateway.Core().mStartupPolicy.RecordUpdates(1, 2, gateway.Core().mNow());
     gateway.Core().ResumeStartupWaiters();
   });
@@ -65,7 +64,7 @@
   CHECK(upstream.Requests().size() == 1);
 }
 
-TEST_CASE("ARequestThatHasWaitedLongEnoughIsToldWhenToComeBack")
+TEST_CASE("ARequestThatTimesOutDuringStartupGetsRetryAfter")
 {
   GatewayFixture gateway;
   gateway.OnRelay([&] {
--- a/test/gateway/ExchangeTest.cpp
+++ b/test/gateway/ExchangeTest.cpp
@@ -13,7 +13,7 @@
 
 using Then = Script::Then;
 
-/** A stream's head and its events from the first to the last id. */
+/** Returns the events of a stream with ids from aFrom to aTo. */
 std::string
 Events(int aFrom, int aTo)
 {
@@ -37,7 +37,7 @@
   "HTTP/1.1 200 OK\r\nX-Id: {id}\r\nX-Stamp: proof\r\nContent-Type: "
   "text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/** Puts the chunks of an answer together. */
+/** Returns the body of a chunked response. */
 std::string
 Unchunked(const std::string& aAnswer)
 {
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("ARequestAndItsAnswerPassUnchanged")
+TEST_CASE("ARequestAndItsResponsePassUnchanged")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
@@ -80,11 +80,11 @@
   CHECK(upstream.Connections() == 1);
 }
 
-// Symptom: a caller got the answer to somebody else's request.
-// Sequence: an upstream sent its answer to a request a second time, on a
-// connection that carried the next request by then.
-// Cause: the next bytes on a connection were taken for the next answer.
-TEST_CASE("ALateAnswerToAnotherRequestIsSkipped")
+// Guards against a caller that gets the response to another caller's request.
+// An upstream sends its response twice, the second time on a connection that
+// already carries the next request, and those bytes are taken for the next
+// response.
+TEST_CASE("ALateResponseToAnotherRequestIsSkipped")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream([](const std::string& aRequest) {
@@ -103,10 +103,10 @@
   CHECK(answer.find("old") == std::string::npos);
 }
 
-// Symptom: an order was carried out twice.
-// Sequence: an upstream ran it and the connection broke before the answer.
-// Cause: a broken connection was taken for a request that did not run.
-TEST_CASE("ALostAnswerIsRepeatedOnlyWhereItMayRunTwice")
+// Guards against a non-idempotent request that runs twice. An upstream runs it,
+// the connection breaks before the response, and the request is treated as one
+// that did not run.
+TEST_CASE("ALostResponseIsRetriedOnlyForIdempotentRequests")
 {
   for (const Then then : { Then::kClose, Then::kReset }) {
     GatewayFixture gateway;
@@ -133,7 +133,7 @@
   }
 }
 
-TEST_CASE("ARefusalSaysThatItDidNotRunAndWhenToComeBack")
+TEST_CASE("ARefusalHasRetryAfterAndNoStamp")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream([](const std::string&) {
@@ -149,7 +149,7 @@
   CHECK(answer.find("X-Stamp") == std::string::npos);
 }
 
-TEST_CASE("AnUpstreamsOwnFailureIsHandedOnAsItIs")
+TEST_CASE("AnUpstreamsErrorResponseIsRelayedUnchanged")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
@@ -163,7 +163,7 @@
   CHECK(upstream.Requests().size() == 1);
 }
 
-TEST_CASE("ASuccessWithoutProofIsNoAnswer")
+TEST_CASE("ASuccessWithoutStampIsRejected")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream([](const std::string&) {
@@ -177,10 +177,10 @@
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
 }
 
-// Symptom: an answer without a length was cut short and looked whole.
-// Sequence: the upstream was reset in the middle of it.
-// Cause: any end of the connection was taken for the end of the answer.
-TEST_CASE("AnAnswerWithoutALengthIsWholeOnlyIfItsConnectionWasClosed")
+// Guards against a truncated response without a length that is relayed as
+// complete: the connection is reset in the middle of it, and any end of the
+// connection is taken for the end of the response.
+TEST_CASE("AResponseWithoutLengthIsCompleteOnlyAfterACleanClose")
 {
   const std::string bytes =
     "HTTP/1.1 200 OK\r\nX-Id: {id}\r\nX-Stamp: p\r\n\r\nsome bytes";
@@ -201,11 +201,11 @@
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
 }
 
-// Symptom: a resumed stream lacked an event, or showed one twice.
-// Sequence: an upstream broke off in the middle of an event; another one went
-// on after the last one that the caller had.
-// Cause: bytes were handed on as they came, whole events or not.
-TEST_CASE("ABrokenStreamGoesOnAtAnotherUpstreamInTheSameAnswer")
+// Guards against a resumed stream that lacks an event or contains one twice. An
+// upstream fails in the middle of an event, another one resumes after the last
+// event that the caller has, and bytes were relayed without regard to the
+// boundaries of events.
+TEST_CASE("ABrokenStreamIsResumedAtAnotherUpstreamInTheSameResponse")
 {
   GatewayFixture gateway;
   const auto serve = [](const std::string& aRequest) {
@@ -228,7 +228,7 @@
   CHECK(one.Requests().size() + two.Requests().size() == 2);
 }
 
-TEST_CASE("AStreamThatCannotBeMadeWholeDoesNotLookWhole")
+TEST_CASE("AStreamThatCannotBeResumedEndsWithoutTheLastChunk")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream([](const std::string&) {
@@ -243,7 +243,7 @@
   CHECK(caller.IsClosed());
 }
 
-TEST_CASE("WhenTheCallerLeavesItsUpstreamIsLetGo")
+TEST_CASE("ACallersDisconnectClosesItsUpstreamConnection")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream([](const std::string&) {
@@ -257,11 +257,10 @@
   CHECK(Eventually([&] { return upstream.ClosedWhileHanging() == 1; }));
 }
 
-// Symptom: an answer was cut short by a planned stop.
-// Sequence: the process was told to stop; the last request's answer was whole
-// and queued; the process ended before its caller had read it.
-// Cause: no exchange was taken for nothing left to do.
-TEST_CASE("AGatewayIsNotQuietWhileACallerIsOwedBytes")
+// Guards against a response that a planned stop truncates. The last response is
+// complete and queued, and the process exits before its caller has read it,
+// because it only checks that no exchange is left.
+TEST_CASE("AGatewayIsNotQuietWhileResponseBytesAreQueued")
 {
   GatewayFixture gateway;
   const std::string large(6U << 20, 'x');
@@ -278,7 +277,7 @@
   CHECK(Eventually([&] { return gateway.IsQuiet(); }));
 }
 
-TEST_CASE("ARequestThatRunsOutOfTimeIsToldSoAtOnce")
+TEST_CASE("ARequestPastItsDeadlineGetsAGatewayTimeout")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream([](const std::string&) {
@@ -294,10 +293,10 @@
   CHECK(Eventually([&] { return upstream.ClosedWhileHanging() == 1; }));
 }
 
-// Symptom: an upstream ran a request that no caller had sent.
-// Sequence: a caller sent one whose end two readers find in two places.
-// Cause: lengths and encodings that contradict each other were let through.
-TEST_CASE("WhatCanBeReadInTwoWaysIsRefusedAndTheConnectionEnds")
+// Guards against request smuggling: contradictory lengths and encodings are
+// forwarded, two parsers find different ends of the request, and an upstream
+// runs a request that no caller has sent.
+TEST_CASE("AmbiguousFramingIsRejectedAndNothingIsForwarded")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
@@ -335,7 +334,7 @@
   CHECK(upstream.Requests().empty());
 }
 
-TEST_CASE("TooLargeARequestIsRefusedForItsSize")
+TEST_CASE("AnOversizedRequestIsRejected")
 {
   GatewayFixture gateway;
   Caller body(gateway.Where());
@@ -347,9 +346,9 @@
   CHECK(StatusOf(head.ReadTo("\r\n\r\n")) == "HTTP/1.1 431");
 }
 
-// Random bytes from an upstream: whatever it sends, a caller gets either a
-// whole answer with proof to its own request, or no success.
-TEST_CASE("NoBytesOfAnUpstreamPassForAnAnswerThatItIsNot")
+// An upstream sends randomly corrupted responses. A caller gets either a
+// complete and stamped response to its own request, or no success.
+TEST_CASE("CorruptUpstreamBytesNeverYieldAnotherRequestsResponse")
 {
   GatewayFixture gateway;
   std::mt19937 random(20261202);
--- a/test/gateway/GatewayFixture.cpp
+++ b/test/gateway/GatewayFixture.cpp
@@ -17,7 +17,7 @@
 
 namespace net = http::net;
 
-/** Reads a request's value of a field; requests here are well-formed. */
+/** Returns the value of a field of a well-formed request, or empty. */
 std::string
 ValueOf(const std::string& aRequest, const std::string& aName)
 {
@@ -60,7 +60,8 @@
            .mResumable = aResumable };
 }
 
-/** A stream that may run once, of which a first event within 1 s is on time. */
+/** Returns a route of streams that may run once, with an objective of 1 s for
+ * the first event. */
 Route
 MakePromptRoute()
 {
@@ -118,7 +119,7 @@
 ScriptedUpstream::~ScriptedUpstream()
 {
   mStopping = true;
-  // A connection of our own wakes the accepting thread.
+  // A connection to the acceptor wakes the accepting thread.
   http::Tcp::socket knock(mIo);
   http::ErrorCode ignored;
   knock.connect(mAcceptor.local_endpoint(), ignored);
@@ -313,7 +314,7 @@
     .mWallClock = runtime::ReadWallMicros,
     .mQuotaWaiters = {},
     .mTable = MakeTable() });
-  // A free port, found by opening and closing it.
+  // Finds a free port by opening and closing an acceptor.
   http::Tcp::acceptor probe(
     mIo, http::Tcp::endpoint(net::ip::make_address("127.0.0.1"), 0));
   mWhere = { "127.0.0.1", probe.local_endpoint().port() };
--- a/test/gateway/GatewayFixture.h
+++ b/test/gateway/GatewayFixture.h
@@ -12,27 +12,27 @@
 
 namespace peridotspool::gateway {
 
-/** What a scripted upstream does with one request. */
+/** How a scripted upstream responds to one request. */
 struct Script
 {
-  /** Sent as it is; "{id}" stands for the request's id. */
+  /** Sent unchanged, except that "{id}" is replaced by the request's id. */
   std::string mAnswer;
   enum class Then
   {
     kKeep,
     kClose,
     kReset,
-    /** Neither answers on nor closes until the other end does. */
+    /** Sends nothing more and waits for the peer to close. */
     kHang,
   };
   Then mThen = Then::kKeep;
 };
 
-/** Returns a whole answer with its proof. */
+/** Returns a complete and stamped response. */
 std::string
 WholeAnswer(const std::string& aBody, unsigned aStatus = 200);
 
-/** A small upstream on the loopback address, a thread for each connection. */
+/** An upstream on the loopback address with one thread per connection. */
 class ScriptedUpstream
 {
 public:
@@ -45,12 +45,12 @@
   {
     return { "127.0.0.1", mAcceptor.local_endpoint().port() };
   }
-  /** From now on nobody listens at its address. */
+  /** Makes its address refuse connections from now on. */
   void StopListening() { ::shutdown(mAcceptor.native_handle(), SHUT_RDWR); }
-  /** Requests that came, whole, as they were sent. */
+  /** Returns the complete requests received, unmodified. */
   std::vector<std::string> Requests() const;
   std::size_t Connections() const { return mConnections; }
-  /** Connections that the other end closed while a request hung. */
+  /** Returns the number of connections that the peer closed during kHang. */
   std::size_t ClosedWhileHanging() const { return mClosedWhileHanging; }
 
 private:
@@ -70,18 +70,19 @@
   std::thread mAccepting;
 };
 
-/** One caller's connection, with blocking calls. */
+/** A caller's connection with blocking calls. */
 class Caller
 {
 public:
   explicit Caller(const Address& aWhere);
 
   void Send(const std::string& aBytes);
-  /** Reads until aEnd has come, the connection ends, or two seconds pass. */
+  /** Reads until aEnd is received, the connection is closed, or a read times
+   * out after two seconds. */
   std::string ReadTo(const std::string& aEnd);
-  /** Reads one whole answer by its length or its last chunk. */
+  /** Reads one response up to its length or its last chunk. */
   std::string ReadAnswer();
-  /** True iff the other end has closed; waits for it up to two seconds. */
+  /** Waits up to two seconds; returns true iff the peer has closed. */
   bool IsClosed();
   void Close();
 
@@ -100,7 +101,7 @@
   GatewayFixture();
   ~GatewayFixture();
 
-  /** Makes an upstream of the service known. */
+  /** Registers an upstream of the service. */
   void Add(const std::string& aName, const Address& aWhere);
   /** Runs a function on the relay thread and waits for it. */
   void OnRelay(const std::function<void()>& aCall);
@@ -108,7 +109,7 @@
   GatewayCore& Core() { return *mCore; }
   bool IsQuiet();
   std::size_t Exchanges();
-  /** What was told to the control leader. */
+  /** Returns the messages sent to the control leader. */
   std::vector<SharedMessage> SentToLeader()
   {
     std::vector<SharedMessage> told;
@@ -134,11 +135,11 @@
             const std::string& aId,
             const std::string& aBody = {});
 
-/** The status line of an answer, up to the status. */
+/** Returns the status line of a response up to the status. */
 std::string
 StatusOf(const std::string& aAnswer);
 
-/** Waits up to two seconds for a condition of another thread. */
+/** Polls for up to two seconds; returns true iff the condition became true. */
 bool
 Eventually(const std::function<bool()>& aCondition);
 
--- a/test/gateway/HeaderRulesTest.cpp
+++ b/test/gateway/HeaderRulesTest.cpp
@@ -29,10 +29,9 @@
 
 } // namespace
 
-// Symptom: an upstream billed a request to another customer.
-// Sequence: a caller set the field that names the customer itself.
-// Cause: the field was handed on beside the gateway's own.
-TEST_CASE("WriteForwardLetsNothingPassForWhatTheGatewaySets")
+// Guards against a request that is billed to another customer: a caller sets
+// the customer's field itself, and it is forwarded beside the gateway's own.
+TEST_CASE("WriteUpstreamRequestRemovesCallersValuesOfGatewayFields")
 {
   const std::string text = WriteUpstreamRequest(MakeRequest(),
                                                 TestNames(),
@@ -55,7 +54,7 @@
   CHECK(text.ends_with("\r\n\r\nthe body"));
 }
 
-TEST_CASE("WriteForwardResumesAfterTheEventThatItIsTold")
+TEST_CASE("WriteUpstreamRequestReplacesTheLastEventIdOfAResumedStream")
 {
   CallerRequest request = MakeRequest();
   request.mFields.emplace_back("last-event-id", "3");
@@ -67,7 +66,7 @@
   CHECK(resumed.find("Last-Event-Id: 9\r\n") != std::string::npos);
 }
 
-TEST_CASE("WriteForwardGivesAGETWithoutABodyNoLength")
+TEST_CASE("WriteUpstreamRequestOmitsContentLengthForAGETWithoutBody")
 {
   CallerRequest request = MakeRequest();
   request.mMethod = "GET";
@@ -76,7 +75,7 @@
         std::string::npos);
 }
 
-TEST_CASE("WriteAnswerHeadKeepsTheUpstreamsFieldsAndFramesAnew")
+TEST_CASE("WriteResponseHeadKeepsFieldsAndReplacesFraming")
 {
   const ResponseHead head{ .mStatus = 200,
                            .mReason = "OK",
@@ -91,7 +90,7 @@
         "chunked\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("WriteOwnAnswerSaysWhenToComeBack")
+TEST_CASE("WriteLocalResponseHasRetryAfterAndNoStamp")
 {
   const std::string text = WriteLocalResponse(
     { .mStatus = 503, .mReason = "full", .mRetryAfter = 0.3 },
@@ -103,7 +102,7 @@
   CHECK(text.find("X-Stamp") == std::string::npos);
 }
 
-TEST_CASE("BearerOfAndReadNumberTakeOnlyWhatTheyAreMadeFor")
+TEST_CASE("BearerTokenAndReadNumberRejectMalformedInput")
 {
   CHECK(BearerToken("Bearer abc") == "abc");
   CHECK(BearerToken("bearer  abc ") == "abc");
--- a/test/gateway/RouteTableTest.cpp
+++ b/test/gateway/RouteTableTest.cpp
@@ -61,7 +61,7 @@
   CHECK(NameOf(table->Find("three.example", "/a/")) == "none");
 }
 
-TEST_CASE("RouteTableKnowsTheCustomerOfEachKey")
+TEST_CASE("RouteTableFindsTheCustomerOfEachKey")
 {
   LastReason reason;
   const auto table = RouteTable::Make(MakeSource(), reason);
@@ -72,7 +72,7 @@
   CHECK(table->CustomerOf("") == nullptr);
 }
 
-TEST_CASE("RouteTableRefusesWhatContradictsItselfWithTheReason")
+TEST_CASE("RouteTableRejectsInvalidConfigurationsWithTheReason")
 {
   RouteTableSource source = MakeSource();
   CHECK(FaultOf(source).empty());
--- a/test/gateway/ShutdownPolicyTest.cpp
+++ b/test/gateway/ShutdownPolicyTest.cpp
@@ -15,10 +15,11 @@
 
 } // namespace
 
-// Symptom: a planned stop cut an answer 33 ms after its upstream had made it.
-// Sequence: the process ended 0.4 s before its grace was over.
-// Cause: more of the grace was kept back than ending takes.
-TEST_CASE("ABusyProcessGoesOnUntilItsGraceIsOver")
+// Guards against a planned stop that truncates a response although the grace
+// period is not over. A process that exited 0.4 s early truncated a response
+// that its upstream had completed 33 ms before: more of the grace period was
+// reserved than exiting takes.
+TEST_CASE("ABusyProcessRunsUntilTheEndOfItsGracePeriod")
 {
   ShutdownPolicy plan({}, At(0));
   CHECK(plan.Step(false, At(2500)) == ShutdownStage::kAccepting);
@@ -27,7 +28,7 @@
   CHECK(plan.Step(false, At(7960)) == ShutdownStage::kComplete);
 }
 
-TEST_CASE("AQuietProcessEndsOnceItsLastBytesAreOnTheirWay")
+TEST_CASE("AQuietProcessExitsAfterTheQuietTime")
 {
   ShutdownPolicy plan({}, At(0));
   CHECK(plan.Step(true, At(1000)) == ShutdownStage::kAccepting);
@@ -36,11 +37,11 @@
   CHECK(plan.Step(true, At(1750)) == ShutdownStage::kComplete);
 }
 
-// Symptom: a planned stop cuts a long stream.
-// Sequence: the stream is taken 2.3 s after the order to stop, is made for 5.7
-// s and is not whole when the grace of 8 s is over. Cause: long and short
-// requests taken alike for 2.5 s.
-TEST_CASE("AStoppingProcessTakesNothingThatMayOutliveIt")
+// Guards against a planned stop that truncates a long stream. A stream that is
+// accepted 2.3 s after the request to stop and takes 5.7 s is incomplete at the
+// end of the 8 s grace period. This happens if long and short requests alike
+// are accepted for 2.5 s.
+TEST_CASE("AStoppingProcessRefusesRequestsThatMayOutliveIt")
 {
   const ShutdownPolicy plan({}, At(0));
   CHECK(plan.MayAccept(std::chrono::seconds(5), At(2260)));
--- a/test/gateway/StartupPolicyTest.cpp
+++ b/test/gateway/StartupPolicyTest.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("ARequestWaitsOnceForItsWholeTimeInAProcessThatHasJustStarted")
+TEST_CASE("ARequestAtAStartingProcessWaitsUpToTheMaximumOnce")
 {
   const StartupPolicy plan = MakePlan();
   CHECK(plan.RemainingWait(At(100), At(100)) == std::chrono::milliseconds(500));
@@ -31,20 +31,19 @@
   CHECK_FALSE(plan.RemainingWait(At(100), At(600)).has_value());
 }
 
-// Symptom: an entry that is cut off from control refuses everything half a
-// second late, for as long as the cut lasts.
-// Cause: a wait that is meant for a start, given at any time.
-TEST_CASE("ALaterRequestIsRefusedAtOnce")
+// Guards against an entry that delays all its refusals by half a second while
+// it is partitioned from control: only requests at startup may wait.
+TEST_CASE("ARequestAfterTheStartupPeriodIsRefusedAtOnce")
 {
   CHECK(MakePlan().RemainingWait(At(1999), At(1999)).has_value());
   CHECK_FALSE(MakePlan().RemainingWait(At(2000), At(2000)).has_value());
   CHECK_FALSE(StartupPolicy().RemainingWait(At(0), At(0)).has_value());
 }
 
-// Symptom: an entry that was killed sends all that waits for it to one upstream
-// of hundreds, right after it is back.
-// Cause: the first replica's news were taken for all upstreams.
-TEST_CASE("AStartingProcessHearsAllReplicasOrALittleLongerThanTheFirst")
+// Guards against a restarted entry that sends all waiting requests to one
+// upstream of hundreds, because it takes the first replica's update for the
+// complete list of upstreams.
+TEST_CASE("AStartingProcessAwaitsAllReplicasOrTheUpdateCollectionTime")
 {
   StartupPolicy plan = MakePlan();
   CHECK_FALSE(plan.HasEnoughUpdates(At(10)));
@@ -54,7 +53,7 @@
   plan.RecordUpdates(6, 6, At(30));
   CHECK(plan.HasEnoughUpdates(At(30)));
 
-  // One that hears nobody serves nobody, but doesn't wait for ever.
+  // Without any update the wait ends with the startup period.
   CHECK_FALSE(MakePlan().HasEnoughUpdates(At(1999)));
   CHECK(MakePlan().HasEnoughUpdates(At(2000)));
   CHECK(StartupPolicy().HasEnoughUpdates(At(0)));
--- a/test/gateway/TestNames.h
+++ b/test/gateway/TestNames.h
@@ -4,7 +4,8 @@
 
 namespace peridotspool::gateway {
 
-/** Field names of no deployment: nothing may depend on the platform's. */
+/** Returns field names that no deployment uses, so that a dependence on the
+ * names of one would show in tests. */
 inline HeaderNames
 TestNames()
 {
