--- a/include/peridotspool/gateway/ShutdownPolicy.h
+++ b/include/peridotspool/gateway/ShutdownPolicy.h
@@ -12,7 +12,8 @@
   Duration mGrace = std::chrono::seconds(8);
   /** Requests are accepted for this long after the request to stop. */
   Duration mAcceptFor = std::chrono::milliseconds(2500);
-  /** Callers that looked up entries before the stop may connect until then. */
+  /** Minimum time before the exit: callers that have recently looked up entries
+   * may connect until then. */
   Duration mMinDuration = std::chrono::milliseconds(1500);
   /** The process must be quiet for this long, so that the last bytes written
    * reach their callers. */
--- a/src/gateway/CallerConnection.cpp
+++ b/src/gateway/CallerConnection.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxReadAheadBytes = 64U << 10;
 /** Bounds the time from the first byte of a request to the end of its body. */
 constexpr Duration kBodyTimeout = std::chrono::seconds(20);
-/** Added to the idle time-out: callers reuse a connection up to its end. */
+/** Added to the idle time-out, up to which callers reuse a connection. */
 constexpr Duration kIdleTimeoutSlack = std::chrono::seconds(1);
 
 } // namespace
--- a/src/gateway/ExchangeQuarantine.cpp
+++ b/src/gateway/ExchangeQuarantine.cpp
@@ -135,8 +135,8 @@
   }
 }
 
-// An upstream has responded and goes on running, so the content has not crashed
-// it.
+// An upstream has responded and is still running, so the content is not what
+// crashed other upstreams.
 void
 Exchange::RecordAnswered()
 {
--- a/src/gateway/ExchangeVersion.cpp
+++ b/src/gateway/ExchangeVersion.cpp
@@ -56,7 +56,7 @@
 
 // The time to the first event depends on how much of the prompt the engine has
 // cached, and an engine that has just started has nothing cached. The time is
-// therefore divided by the time that an uncached prompt takes.
+// therefore divided by the time expected for the uncached prompt.
 void
 Exchange::RecordVersionAnswer(bool aFailed)
 {
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -74,7 +74,8 @@
   /** Exchanges that wait for load coordinators, by the query's tag. */
   std::unordered_map<std::uint64_t, LoadWaiter> mLoadWaiters;
   StartupPolicy mStartupPolicy;
-  /** Resume the exchanges that wait for settings or for an upstream. */
+  /** Functions that resume the exchanges that wait for settings or for an
+   * upstream. */
   std::vector<std::function<void()>> mStartupWaiters;
   /** Null until the first settings have been received. */
   std::shared_ptr<const RouteTable> mTable;
--- a/src/gateway/SocketOptions.h
+++ b/src/gateway/SocketOptions.h
@@ -5,8 +5,9 @@
 namespace peridotspool::gateway {
 
 /**
- * Disables Nagle's algorithm and sets TCP_USER_TIMEOUT. Without the latter,
- * data sent to a peer that does not respond any more waits for minutes.
+ * Disables Nagle's algorithm, so that small writes are sent at once, and sets
+ * TCP_USER_TIMEOUT, so that a connection to an unresponsive peer is closed.
+ * Without the latter, data sent on it would wait for minutes.
  */
 void
 SetSocketOptions(http::Tcp::socket& aSocket);
--- a/src/gateway/UpstreamConnectionPool.h
+++ b/src/gateway/UpstreamConnectionPool.h
@@ -13,7 +13,7 @@
 class UpstreamConnectionPool
 {
 public:
-  /** Removes and returns an idle connection that is still open, or null. */
+  /** Removes and returns an open idle connection; null if there is none. */
   std::shared_ptr<UpstreamConnection> Acquire(const UpstreamName& aName,
                                               TimePoint aNow);
   /** Adds a connection if it can be reused; otherwise closes it. */
@@ -21,7 +21,7 @@
                TimePoint aNow);
   /** Closes connections that the upstream is about to close. */
   void Sweep(TimePoint aNow);
-  /** Closes all idle connections to an upstream. */
+  /** Closes and removes all idle connections to an upstream. */
   void Remove(const UpstreamName& aName);
   std::size_t Size() const;
 
