--- a/include/peridotspool/gateway/Route.h
+++ b/include/peridotspool/gateway/Route.h
@@ -57,7 +57,7 @@
   /** An interrupted stream may be resumed at another upstream. */
   bool mResumable = false;
 
-  bool MayRepeat() const
+  bool MayRetry() const
   {
     return mKind == RequestKind::kIdempotent ||
            (mKind == RequestKind::kStreaming && mResumable);
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -46,7 +46,7 @@
 }
 
 AttemptFacts
-Exchange::Facts() const
+Exchange::CurrentState() const
 {
   return AttemptFacts{ .mKind = mRoute->mKind,
                        .mResumable = mRoute->mResumable,
@@ -62,7 +62,7 @@
 {
   const bool isFirst = mRuns == 0 && mRefusals == 0;
   const bool knows = mCore.mStartupPolicy.HasEnoughUpdates(mCore.mNow()) &&
-                     mCore.mGate.Knows() && mCore.mRollouts.Knows();
+                     mCore.mQuarantineGate.Knows() && mCore.mRollouts.Knows();
   if (isFirst && !knows && WaitForStartup()) {
     return;
   }
@@ -72,7 +72,7 @@
 }
 
 void
-Exchange::Place()
+Exchange::ChooseAndSend()
 {
   const TimePoint now = mCore.mNow();
   const auto choice = mCore.mBoard.Choose(mSelectionQuery, now);
--- a/src/gateway/Exchange.h
+++ b/src/gateway/Exchange.h
@@ -44,7 +44,7 @@
   bool WaitForStartup();
   void ResumeAfterStartup();
   bool Admit();
-  bool OutlivesProcess() const;
+  bool MayOutliveProcess() const;
   void RequestQuota();
   void OnQuotaResponse(const QuotaDecided& aDecided);
   void OnQuotaGranted(const QuotaReceipt& aReceipt);
@@ -54,7 +54,7 @@
   void CountUsage();
   void ChooseService();
   Duration TimeLeft() const;
-  AttemptFacts Facts() const;
+  AttemptFacts CurrentState() const;
   void Dispatch();
   void ChooseVersion();
   rollout::VersionAnswer MakeVersionAnswer(bool aFailed) const;
@@ -63,7 +63,7 @@
   bool AskKeepers();
   void GoOnAsked();
   void StopAsking();
-  void Place();
+  void ChooseAndSend();
   std::optional<Duration> RefusesLate(const UpstreamChoice& aChoice) const;
   void RefuseLate(const UpstreamChoice& aChoice, Duration aRetryAfter);
   void SendTo(const UpstreamChoice& aChoice);
@@ -81,7 +81,7 @@
   void ApplyNextStep(NextStep aStep,
                      const char* aReason,
                      observe::CounterId aRetry);
-  void WaitForCaller();
+  void ApplyBackpressure();
   void RelayEvents(std::string_view aEvents);
   void RecordConnectionLoss(const ConnectionFailure& aFailure);
   bool RequestPermit();
@@ -142,9 +142,9 @@
   std::optional<Address> mCoordinator;
   std::uint64_t mLoadSendId = 0;
   /** The request has been counted against its customer's limit. */
-  bool mGranted = false;
+  bool mQuotaGranted = false;
   QuotaReceipt mReceipt;
-  bool mCounted = false;
+  bool mUsageCounted = false;
   std::uint32_t mRuns = 0;
   std::uint32_t mRefusals = 0;
   ResponseHead mHead;
@@ -157,7 +157,7 @@
   TimePoint mFirstEventAt;
   TimePoint mLastEventAt;
   Duration mMaxGap{ 0 };
-  bool mOver = false;
+  bool mEnded = false;
   std::function<void()> mOnEnded;
 };
 
--- a/src/gateway/ExchangeEnd.cpp
+++ b/src/gateway/ExchangeEnd.cpp
@@ -27,7 +27,7 @@
 {
   // A send that never reached an upstream is not charged to the retry budget.
   const bool free = mRuns == 0 && aRetry == CounterId::kRetryConnectionBroken;
-  if (free || mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
+  if (free || mCore.mRetryBudget.TakeRepeat(mService, mCore.mNow())) {
     mCore.mCounters.Add(aRetry);
     Dispatch();
   } else if (mBegun) {
@@ -85,7 +85,7 @@
 void
 Exchange::Cancel()
 {
-  if (mOver) {
+  if (mEnded) {
     return;
   }
   if (mConnection) {
@@ -136,11 +136,11 @@
     mCore.mQuotaWaiters.erase(mQuotaTag);
     mQuotaTag = 0;
   }
-  if (mGranted && mRuns == 0) {
+  if (mQuotaGranted && mRuns == 0) {
     ReturnQuota(mReceipt);
   }
   LeaveQuarantineGate();
-  mOver = true;
+  mEnded = true;
   mWaitingForStartup = false;
   mTimer.cancel();
   mWaitTimer.cancel();
--- a/src/gateway/ExchangeLoad.cpp
+++ b/src/gateway/ExchangeLoad.cpp
@@ -86,7 +86,7 @@
   }
   StopAsking();
   mLoadQueryTook = mCore.mNow() - mLoadQueriedAt;
-  Place();
+  ChooseAndSend();
 }
 
 void
--- a/src/gateway/ExchangeQuarantine.cpp
+++ b/src/gateway/ExchangeQuarantine.cpp
@@ -32,7 +32,7 @@
     return true;
   }
   const TimePoint now = mCore.mNow();
-  const auto answer = mCore.mGate.Ask(mContent, TimeLeft(), now);
+  const auto answer = mCore.mQuarantineGate.Ask(mContent, TimeLeft(), now);
   if (answer.mOutcome == GateOutcome::kGoes) {
     return true;
   }
@@ -76,7 +76,7 @@
   mSelectionQuery.mLeastFull = mPermit != 0;
   ChooseVersion();
   if (!AskKeepers()) {
-    Place();
+    ChooseAndSend();
   }
 }
 
@@ -105,7 +105,7 @@
                       { "reason", refused ? "quarantine" : "no_turn" },
                       { "content", ToText(mContent) },
                       { "service", mService },
-                      { "quarantine", mCore.mGate.Known() },
+                      { "quarantine", mCore.mQuarantineGate.Known() },
                       { "asked_ms", mCore.mNow() - mArrivedAt } });
   SendLocalResponse(kUnavailable,
                     reason,
@@ -128,10 +128,10 @@
 {
   if (mGateTag != 0) {
     mCore.mGateWaiters.erase(mGateTag);
-    mCore.mGate.Forget(std::exchange(mGateTag, 0));
+    mCore.mQuarantineGate.Forget(std::exchange(mGateTag, 0));
   }
   if (mPermit != 0) {
-    mCore.mSendToLeader(mCore.mGate.Ended(std::exchange(mPermit, 0)));
+    mCore.mSendToLeader(mCore.mQuarantineGate.Ended(std::exchange(mPermit, 0)));
   }
 }
 
@@ -140,8 +140,8 @@
 void
 Exchange::RecordAnswered()
 {
-  const auto ended =
-    mCore.mGate.Answered(std::exchange(mPermit, 0), mContent, mCore.mNow());
+  const auto ended = mCore.mQuarantineGate.Answered(
+    std::exchange(mPermit, 0), mContent, mCore.mNow());
   if (ended) {
     mCore.mSendToLeader(*ended);
   }
--- a/src/gateway/ExchangeQuota.cpp
+++ b/src/gateway/ExchangeQuota.cpp
@@ -65,7 +65,7 @@
 Exchange::OnQuotaResponse(const QuotaDecided& aDecided)
 {
   mQuotaTag = 0;
-  if (mOver) {
+  if (mEnded) {
     if (aDecided.mGranted) {
       ReturnQuota(aDecided.mReceipt);
     }
@@ -87,7 +87,7 @@
 void
 Exchange::OnQuotaGranted(const QuotaReceipt& aReceipt)
 {
-  mGranted = true;
+  mQuotaGranted = true;
   mReceipt = aReceipt;
   const auto units = static_cast<std::uint64_t>(Units());
   switch (aReceipt.mSource) {
@@ -132,8 +132,8 @@
 void
 Exchange::CountUsage()
 {
-  if (mCustomer != nullptr && !mCounted) {
-    mCounted = true;
+  if (mCustomer != nullptr && !mUsageCounted) {
+    mUsageCounted = true;
     mCore.mUsage.Count(mCustomer->mName, mCore.mWallClock(), mCore.mNow());
   }
 }
--- a/src/gateway/ExchangeResponse.cpp
+++ b/src/gateway/ExchangeResponse.cpp
@@ -124,15 +124,15 @@
     mFirstBatchAt = now;
   }
   mCaller->SendChunk(aEvents);
-  WaitForCaller();
+  ApplyBackpressure();
 }
 
 // A caller that reads slowly must not fill this instance's memory. Reading from
 // its upstream is paused, which delays no other request.
 void
-Exchange::WaitForCaller()
+Exchange::ApplyBackpressure()
 {
-  if (mOver || !mConnection) {
+  if (mEnded || !mConnection) {
     return;
   }
   if (mCaller->QueuedBytes() <= kMaxQueuedBytes) {
@@ -143,7 +143,7 @@
   mWaitTimer.expires_after(kSlowCallerCheckPeriod);
   mWaitTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
     if (!aError) {
-      self->WaitForCaller();
+      self->ApplyBackpressure();
     }
   });
 }
@@ -155,7 +155,7 @@
     ++mRefusals;
     EndAttempt(mHead.mStatus == kMisdirected ? SendResult::kOther
                                              : SendResult::kFull);
-    ApplyNextStep(AfterNotRun(Facts()),
+    ApplyNextStep(AfterNotRun(CurrentState()),
                   "upstreams refused",
                   CounterId::kRetryUpstreamRefused);
     return;
@@ -190,7 +190,7 @@
   const bool stamped = !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
   if (IsSuccess(mHead.mStatus) && !stamped) {
     EndAttempt(SendResult::kFailed);
-    ApplyNextStep(AfterLost(Facts()),
+    ApplyNextStep(AfterLost(CurrentState()),
                   "an answer without proof",
                   CounterId::kRetryCrossedAnswer);
     return;
@@ -202,8 +202,8 @@
   const bool failed = mHead.mStatus >= kFirstServerError;
   RecordVersionAnswer(failed);
   EndAttempt(failed ? SendResult::kFailed : SendResult::kAnswered);
-  if (failed && AfterFailure(Facts()) == NextStep::kTryAnother &&
-      mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
+  if (failed && AfterFailure(CurrentState()) == NextStep::kTryAnother &&
+      mCore.mRetryBudget.TakeRepeat(mService, mCore.mNow())) {
     mCore.mCounters.Add(mCore.mRollouts.IsTrying(mService, mVersion)
                           ? CounterId::kRetryNewVersion
                           : CounterId::kRetryUpstreamRefused);
@@ -235,16 +235,16 @@
   if (!aFailure.mMayHaveBeenSent || !mCore.mBoard.IsReady(mUpstream)) {
     return;
   }
-  const auto ended = mCore.mWitness.Lost(life,
-                                         mUpstreamAddress,
-                                         { .mContent = mContent,
-                                           .mSentAt = mSent.mSentAt,
-                                           .mLostAt = mCore.mNow(),
-                                           .mHadTurn = mPermit != 0 });
-  mCore.mGate.Lost(std::exchange(mPermit, 0), mCore.mNow());
+  const auto ended = mCore.mCrashWitness.Lost(life,
+                                              mUpstreamAddress,
+                                              { .mContent = mContent,
+                                                .mSentAt = mSent.mSentAt,
+                                                .mLostAt = mCore.mNow(),
+                                                .mHadTurn = mPermit != 0 });
+  mCore.mQuarantineGate.Lost(std::exchange(mPermit, 0), mCore.mNow());
   if (ended) {
     mCore.OnUpstreamEnded(*ended);
-  } else if (mCore.mWitness.ShouldProbe(life)) {
+  } else if (mCore.mCrashWitness.ShouldProbe(life)) {
     ProbeIncarnation(mCore, life, mUpstreamAddress);
   }
 }
@@ -264,13 +264,13 @@
                       { "begun", mBegun } });
   if (!aFailure.mMayHaveBeenSent) {
     ++mRefusals;
-    ApplyNextStep(AfterNotRun(Facts()),
+    ApplyNextStep(AfterNotRun(CurrentState()),
                   "upstreams can't be reached",
                   CounterId::kRetryConnectionBroken);
     return;
   }
   ++mRuns;
-  ApplyNextStep(AfterLost(Facts()),
+  ApplyNextStep(AfterLost(CurrentState()),
                 "the upstream's answer was lost",
                 CounterId::kRetryConnectionBroken);
 }
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -87,10 +87,10 @@
       .mHost = FieldOf(mRequest.mFields, "host"),
       .mTarget = mRequest.mTarget,
       .mBody = mRequest.mBody });
-  mCore.mBudget.TakeRequest(mService, mArrivedAt);
+  mCore.mRetryBudget.TakeRequest(mService, mArrivedAt);
   mTimer.expires_after(wait);
   mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
-    if (!aError && !self->mOver) {
+    if (!aError && !self->mEnded) {
       self->OnTimeout();
     }
   });
@@ -106,7 +106,7 @@
       kUnavailable, "no settings yet", kNoSettingsRetryAfterSeconds);
     return false;
   }
-  if (mCore.mRefusing || OutlivesProcess()) {
+  if (mCore.mRefusing || MayOutliveProcess()) {
     mCore.mCounters.Add(CounterId::kRefusedDraining);
     SendLocalResponse(kUnavailable, "stopping", kStoppingRetryAfterSeconds);
     return false;
@@ -134,7 +134,7 @@
 }
 
 bool
-Exchange::OutlivesProcess() const
+Exchange::MayOutliveProcess() const
 {
   const auto counts =
     ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -28,7 +28,7 @@
 void
 GatewayCore::OnConnectionRefused(const routing::UpstreamLife& aLife)
 {
-  if (const auto ended = mWitness.Refused(aLife, mNow())) {
+  if (const auto ended = mCrashWitness.Refused(aLife, mNow())) {
     OnUpstreamEnded(*ended);
   }
 }
@@ -46,7 +46,7 @@
                     : "a refused connection" },
                 { "lost", aEnded.mLost.size() },
                 { "contents", ContentsOf(aEnded) } });
-  mCrashes.Add(aEnded);
+  mCrashReporter.Add(aEnded);
   ReportCrashes();
 }
 
@@ -61,17 +61,17 @@
 void
 GatewayCore::ReportCrashes()
 {
-  if (auto report = mCrashes.Report(mNow())) {
+  if (auto report = mCrashReporter.Report(mNow())) {
     mSendToLeader(std::move(*report));
   }
 }
 
 void
-GatewayCore::TickGate()
+GatewayCore::TickQuarantine()
 {
-  mCrashes.Forget(mNow());
+  mCrashReporter.Forget(mNow());
   ReportCrashes();
-  ApplyGateTick(mGate.Tick(mNow()));
+  ApplyGateTick(mQuarantineGate.Tick(mNow()));
 }
 
 void
@@ -91,15 +91,15 @@
 void
 GatewayCore::HandleQuarantineUpdate(const routing::QuarantineTold& aTold)
 {
-  const std::uint64_t before = mGate.Known();
-  const routing::GateTick tick = mGate.Take(aTold, mNow());
-  if (mGate.Known() != before) {
-    mCounters.Set(observe::CounterId::kQuarantined, mGate.Listed());
+  const std::uint64_t before = mQuarantineGate.Known();
+  const routing::GateTick tick = mQuarantineGate.Take(aTold, mNow());
+  if (mQuarantineGate.Known() != before) {
+    mCounters.Set(observe::CounterId::kQuarantined, mQuarantineGate.Listed());
     mLogger.Log(observe::EventId::kQuarantineTaken,
                 { { "from", aTold.mFrom },
                   { "to", aTold.mTo },
                   { "changed", aTold.mLines.size() },
-                  { "listed", mGate.Listed() } });
+                  { "listed", mQuarantineGate.Listed() } });
   }
   ApplyGateTick(tick);
   ResumeStartupWaiters();
@@ -122,7 +122,7 @@
 void
 GatewayCore::HandlePermitResponse(const routing::TurnAnswer& aAnswer)
 {
-  if (const auto decided = mGate.Take(aAnswer)) {
+  if (const auto decided = mQuarantineGate.Take(aAnswer)) {
     HandleGateDecision(*decided);
   }
 }
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -48,7 +48,7 @@
   http::net::io_context& mIo;
   HeaderNames mNames;
   UpstreamBoard mBoard;
-  RepeatBudget mBudget;
+  RepeatBudget mRetryBudget;
   UpstreamConnectionPool mPool;
   observe::Logger& mLogger;
   observe::Counters& mCounters;
@@ -85,9 +85,9 @@
   std::optional<ShutdownPolicy> mShutdownPolicy;
   /** Requests are refused because the process is about to exit. */
   bool mRefusing = false;
-  routing::CrashWitness mWitness;
-  routing::CrashReporter mCrashes;
-  routing::QuarantineGate mGate;
+  routing::CrashWitness mCrashWitness;
+  routing::CrashReporter mCrashReporter;
+  routing::QuarantineGate mQuarantineGate;
   /** Exchanges that wait for the quarantine gate, by its tag. */
   std::unordered_map<std::uint64_t, std::function<void(routing::GateOutcome)>>
     mGateWaiters;
@@ -122,7 +122,7 @@
   /** Reports crashes to the leader that it has not confirmed yet. */
   void ReportCrashes();
   /** Advances the quarantine gate and crash reports; called every 50 ms. */
-  void TickGate();
+  void TickQuarantine();
   void HandleQuarantineUpdate(const routing::QuarantineTold& aTold);
   void HandleRolloutUpdate(const rollout::RolloutUpdate& aUpdate);
   void HandlePermitResponse(const routing::TurnAnswer& aAnswer);
--- a/src/gateway/IncarnationProbe.cpp
+++ b/src/gateway/IncarnationProbe.cpp
@@ -51,7 +51,7 @@
     [probe, &aCore, life = aLife](http::ErrorCode aError) {
       probe->mTimer.cancel();
       if (!aError) {
-        aCore.mWitness.Accepted(life);
+        aCore.mCrashWitness.Accepted(life);
       } else if (aError == net::error::connection_refused) {
         aCore.OnConnectionRefused(life);
       }
--- a/src/gateway/UpstreamConnection.cpp
+++ b/src/gateway/UpstreamConnection.cpp
@@ -98,7 +98,7 @@
 {
   mListener = aListener;
   mRequest = std::move(aRequest);
-  mSkipped = 0;
+  mSkippedResponses = 0;
   StartParser();
   WriteRequest();
   Read();
@@ -247,7 +247,7 @@
   mKeepAlive = mParser->keep_alive();
   mAdvertisedIdleTimeout = ParseKeepAlive(FieldOf(head.mFields, "keep-alive"));
   mSkipping = !mListener->OnHead(std::move(head));
-  if (mSkipping && ++mSkipped > kMaxSkippedResponses) {
+  if (mSkipping && ++mSkippedResponses > kMaxSkippedResponses) {
     Fail("too many responses to other requests");
   }
   return !mClosed && mListener != nullptr;
@@ -274,7 +274,7 @@
     Parse();
     return;
   }
-  ++mServed;
+  ++mServedRequests;
   UpstreamListener* listener = std::exchange(mListener, nullptr);
   listener->OnEnd();
 }
@@ -297,7 +297,7 @@
 {
   const ConnectionFailure failure{ .mReason = aReason,
                                    .mMayHaveBeenSent = mSent,
-                                   .mReused = mServed > 0,
+                                   .mReused = mServedRequests > 0,
                                    .mRefused = aRefused };
   UpstreamListener* listener = std::exchange(mListener, nullptr);
   Close();
--- a/src/gateway/UpstreamConnection.h
+++ b/src/gateway/UpstreamConnection.h
@@ -110,8 +110,8 @@
   bool mSkipping = false;
   bool mKeepAlive = false;
   bool mSent = false;
-  std::size_t mServed = 0;
-  std::size_t mSkipped = 0;
+  std::size_t mServedRequests = 0;
+  std::size_t mSkippedResponses = 0;
   std::optional<Duration> mAdvertisedIdleTimeout;
 };
 
--- a/src/runtime/GatewayRelay.cpp
+++ b/src/runtime/GatewayRelay.cpp
@@ -111,7 +111,7 @@
     .mIo = mIo,
     .mNames = mDialect.mNames,
     .mBoard = gateway::UpstreamBoard({ .mDomain = mSettings.mDomain }),
-    .mBudget =
+    .mRetryBudget =
       gateway::RepeatBudget({ .mRatio = mSettings.mShared.mRetryRatio,
                               .mExtra = mSettings.mShared.mRetryExtra,
                               .mWindow = mSettings.mShared.mRetryWindow,
@@ -188,7 +188,7 @@
                 static_cast<std::uint64_t>(mCore->mQuota.LateUnits()));
   mCore->mCoordinator.Forget(now);
   mCore->ResumeStartupWaiters();
-  mCore->TickGate();
+  mCore->TickQuarantine();
   ReportUsage(now);
   mTraffic.Tick(*mLogger, mCounters, now);
   NoteLostLeader(now);
@@ -236,7 +236,7 @@
   const bool toAll = ++mReports % kFollowersEach == 0;
   gateway::UsageReport report = mCore->mUsage.Report(ReadWallMicros());
   report.mRunning = mCore->mBoard.Running();
-  report.mQuarantine = mCore->mGate.Known();
+  report.mQuarantine = mCore->mQuarantineGate.Known();
   report.mRollouts = mCore->mRollouts.Number();
   report.mQuotaLease = mCore->mQuota.Lease();
   const auto again = std::exchange(mCore->mCameAgain, {});
--- a/src/runtime/GatewayRelaySession.cpp
+++ b/src/runtime/GatewayRelaySession.cpp
@@ -118,7 +118,7 @@
   mLogger->Log(EventId::kControlRegained, { { "leader", ToText(aLeader) } });
   mLeader = aLeader;
   mLeaderHeardAt = ReadClock();
-  mCore->mCrashes.MeetLeader();
+  mCore->mCrashReporter.MeetLeader();
   if (auto again = mCore->mQuota.AskAgain(); !again.mLines.empty()) {
     mCore->mSendToLeader(std::move(again));
   }
@@ -131,45 +131,48 @@
                          const gateway::SharedMessage& aMessage)
 {
   const TimePoint now = ReadClock();
-  std::visit(
-    Overloaded{
-      [&](const gateway::QuotaGrant& aGrant) {
-        Decide(mCore->mQuota.TakeGrant(aGrant));
-      },
-      [&](const gateway::QuotaLease& aLease) {
-        if (mCore->mQuota.TakeLease(aLease, now)) {
-          MeetLeader(aFrom);
-        }
-      },
-      [&](const gateway::CommonTime& aTime) {
-        mCore->mUsage.TakeTime(aTime.mMicros, now);
-      },
-      [&](const gateway::LoadAsk& aAsk) {
-        TellEntry(aFrom, mCore->mCoordinator.Answer(aAsk, now));
-      },
-      [&](const gateway::LoadTold& aTold) { mCore->HandleLoadResponse(aTold); },
-      [&](const routing::CrashTaken& aTaken) { mCore->mCrashes.Take(aTaken); },
-      [&](const routing::TurnAnswer& aTurn) {
-        mCore->HandlePermitResponse(aTurn);
-      },
-      [&](const routing::QuarantineTold& aTold) {
-        mCore->HandleQuarantineUpdate(aTold);
-      },
-      [&](const rollout::RolloutUpdate& aUpdate) {
-        mCore->HandleRolloutUpdate(aUpdate);
-      },
-      [&](const gateway::LoadSent& aOne) {
-        mCore->mCoordinator.Take(aOne, now);
-      },
-      [&](const gateway::LoadBegun& aOne) {
-        mCore->mCoordinator.Take(aOne, now);
-      },
-      [&](const gateway::LoadEnded& aOne) {
-        mCore->mCoordinator.Take(aOne, now);
-      },
-      // What else there is goes to the leader.
-      [](const auto& /*aOther*/) {} },
-    aMessage);
+  std::visit(Overloaded{ [&](const gateway::QuotaGrant& aGrant) {
+                          Decide(mCore->mQuota.TakeGrant(aGrant));
+                        },
+                         [&](const gateway::QuotaLease& aLease) {
+                           if (mCore->mQuota.TakeLease(aLease, now)) {
+                             MeetLeader(aFrom);
+                           }
+                         },
+                         [&](const gateway::CommonTime& aTime) {
+                           mCore->mUsage.TakeTime(aTime.mMicros, now);
+                         },
+                         [&](const gateway::LoadAsk& aAsk) {
+                           TellEntry(aFrom,
+                                     mCore->mCoordinator.Answer(aAsk, now));
+                         },
+                         [&](const gateway::LoadTold& aTold) {
+                           mCore->HandleLoadResponse(aTold);
+                         },
+                         [&](const routing::CrashTaken& aTaken) {
+                           mCore->mCrashReporter.Take(aTaken);
+                         },
+                         [&](const routing::TurnAnswer& aTurn) {
+                           mCore->HandlePermitResponse(aTurn);
+                         },
+                         [&](const routing::QuarantineTold& aTold) {
+                           mCore->HandleQuarantineUpdate(aTold);
+                         },
+                         [&](const rollout::RolloutUpdate& aUpdate) {
+                           mCore->HandleRolloutUpdate(aUpdate);
+                         },
+                         [&](const gateway::LoadSent& aOne) {
+                           mCore->mCoordinator.Take(aOne, now);
+                         },
+                         [&](const gateway::LoadBegun& aOne) {
+                           mCore->mCoordinator.Take(aOne, now);
+                         },
+                         [&](const gateway::LoadEnded& aOne) {
+                           mCore->mCoordinator.Take(aOne, now);
+                         },
+                         // What else there is goes to the leader.
+                         [](const auto& /*aOther*/) {} },
+             aMessage);
 }
 
 void
@@ -277,7 +280,7 @@
     }
   }
   mCore->mKeepers.Use(std::move(keepers));
-  mCore->mBudget.UseEntries(members + kUnknownEntries);
+  mCore->mRetryBudget.UseEntries(members + kUnknownEntries);
   mCounters.Set(observe::CounterId::kMembersKnown, members);
   mLogger->Log(EventId::kEpochChanged,
                { { "epoch", aEffect.mMap.mEpoch }, { "members", members } });
--- a/src/runtime/UpstreamFeed.cpp
+++ b/src/runtime/UpstreamFeed.cpp
@@ -37,7 +37,7 @@
   if (!ready || restarted) {
     mCore.mPool.Remove(aName);
   }
-  for (const auto& ended : mCore.mWitness.Announced(
+  for (const auto& ended : mCore.mCrashWitness.Announced(
          { .mName = aName, .mIncarnation = known->mReport.mIncarnation },
          known->mReport.mAddress,
          aNow)) {
@@ -48,7 +48,7 @@
 void
 UpstreamFeed::Forget(TimePoint aNow)
 {
-  mCore.mWitness.Forget(aNow);
+  mCore.mCrashWitness.Forget(aNow);
   for (const UpstreamName& name : mDirectory.Forget(aNow)) {
     mCore.mBoard.Take(name, nullptr, aNow);
   }
--- a/test/gateway/ExchangeQuarantineTest.cpp
+++ b/test/gateway/ExchangeQuarantineTest.cpp
@@ -30,7 +30,7 @@
          QuarantineStage aStage)
 {
   aGateway.OnRelay([&] {
-    const std::uint64_t known = aGateway.Core().mGate.Known();
+    const std::uint64_t known = aGateway.Core().mQuarantineGate.Known();
     aGateway.Core().HandleQuarantineUpdate(routing::QuarantineTold{
       .mFrom = known,
       .mTo = known + 1,
--- a/test/gateway/GatewayFixture.cpp
+++ b/test/gateway/GatewayFixture.cpp
@@ -296,7 +296,7 @@
     .mIo = mIo,
     .mNames = TestNames(),
     .mBoard = UpstreamBoard({ .mEjectFor = std::chrono::milliseconds(50) }),
-    .mBudget = RepeatBudget({ .mExtra = 1000.0 }),
+    .mRetryBudget = RepeatBudget({ .mExtra = 1000.0 }),
     .mPool = {},
     .mLogger = *mLogger,
     .mCounters = mCounters,
