--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -33,7 +33,7 @@
   , mTable(aCore.mTable)
   , mId(FieldOf(mRequest.mFields, aCore.mNames.mRequestId))
   , mArrivedAt(aCore.mNow())
-  , mTimer(aCore.mIo)
+  , mDeadlineTimer(aCore.mIo)
   , mWaitTimer(aCore.mIo)
   , mLoadQueryTimer(aCore.mIo)
 {
--- a/src/gateway/Exchange.h
+++ b/src/gateway/Exchange.h
@@ -91,7 +91,7 @@
   void LeaveQuarantineGate();
   void RecordAnswered();
   void LogPermit(const char* aOutcome);
-  void FinishWhole();
+  void FinishBuffered();
   void FinishStream();
   void OnTimeout();
   void SendLocalResponse(unsigned aStatus,
@@ -112,7 +112,7 @@
   ContentId mContent;
   TimePoint mArrivedAt;
   TimePoint mDeadline;
-  http::net::steady_timer mTimer;
+  http::net::steady_timer mDeadlineTimer;
   http::net::steady_timer mWaitTimer;
   http::net::steady_timer mLoadQueryTimer;
   ChooseQuestion mSelectionQuery;
--- a/src/gateway/ExchangeEnd.cpp
+++ b/src/gateway/ExchangeEnd.cpp
@@ -142,7 +142,7 @@
   LeaveQuarantineGate();
   mEnded = true;
   mWaitingForStartup = false;
-  mTimer.cancel();
+  mDeadlineTimer.cancel();
   mWaitTimer.cancel();
   StopAsking();
   const Duration took = mCore.mNow() - mArrivedAt;
--- a/src/gateway/ExchangeResponse.cpp
+++ b/src/gateway/ExchangeResponse.cpp
@@ -165,7 +165,7 @@
     FinishStream();
     return;
   }
-  FinishWhole();
+  FinishBuffered();
 }
 
 void
@@ -185,7 +185,7 @@
 }
 
 void
-Exchange::FinishWhole()
+Exchange::FinishBuffered()
 {
   const bool stamped = !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
   if (IsSuccess(mHead.mStatus) && !stamped) {
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -88,12 +88,13 @@
       .mTarget = mRequest.mTarget,
       .mBody = mRequest.mBody });
   mCore.mRetryBudget.TakeRequest(mService, mArrivedAt);
-  mTimer.expires_after(wait);
-  mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
-    if (!aError && !self->mEnded) {
-      self->OnTimeout();
-    }
-  });
+  mDeadlineTimer.expires_after(wait);
+  mDeadlineTimer.async_wait(
+    [self = shared_from_this()](http::ErrorCode aError) {
+      if (!aError && !self->mEnded) {
+        self->OnTimeout();
+      }
+    });
   RequestQuota();
 }
 
--- a/src/gateway/UpstreamConnection.cpp
+++ b/src/gateway/UpstreamConnection.cpp
@@ -43,7 +43,7 @@
 
 UpstreamConnection::UpstreamConnection(net::io_context& aIo, UpstreamName aName)
   : mSocket(aIo)
-  , mTimer(aIo)
+  , mConnectTimer(aIo)
   , mName(std::move(aName))
 {
 }
@@ -64,8 +64,8 @@
     });
     return;
   }
-  mTimer.expires_after(aTimeout);
-  mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
+  mConnectTimer.expires_after(aTimeout);
+  mConnectTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
     if (!aError) {
       self->Fail("connect timed out");
     }
@@ -82,7 +82,7 @@
   if (mClosed) {
     return;
   }
-  mTimer.cancel();
+  mConnectTimer.cancel();
   if (aError) {
     Fail(aError.message(), aError == net::error::connection_refused);
     return;
@@ -320,7 +320,7 @@
     return;
   }
   mClosed = true;
-  mTimer.cancel();
+  mConnectTimer.cancel();
   http::ErrorCode ignored;
   mSocket.close(ignored);
 }
--- a/src/gateway/UpstreamConnection.h
+++ b/src/gateway/UpstreamConnection.h
@@ -96,7 +96,7 @@
   void Close();
 
   http::Tcp::socket mSocket;
-  http::net::steady_timer mTimer;
+  http::net::steady_timer mConnectTimer;
   UpstreamName mName;
   UpstreamListener* mListener = nullptr;
   http::beast::flat_buffer mBuffer;
