--- a/test/gateway/ExchangeTest.cpp
+++ b/test/gateway/ExchangeTest.cpp
@@ -203,7 +203,7 @@
 
 // Guards against a resumed stream that lacks an event or contains one twice. An
 // upstream fails in the middle of an event, another one resumes after the last
-// event that the caller has, and bytes were relayed without regard to the
+// event that the caller has, and bytes are relayed without regard to the
 // boundaries of events.
 TEST_CASE("ABrokenStreamIsResumedAtAnotherUpstreamInTheSameResponse")
 {
