--- a/include/peridotspool/gateway/StartupPolicy.h
+++ b/include/peridotspool/gateway/StartupPolicy.h
@@ -32,9 +32,9 @@
   StartupPolicy() = default;
   StartupPolicy(StartupPolicyOptions aOptions, TimePoint aStartedAt);
 
-  /** Records that aHeard of the aOf control replicas have sent the upstreams
+  /** Records that aReported of aTotal control replicas have sent the upstreams
    * that are registered with them. */
-  void RecordUpdates(std::size_t aHeard, std::size_t aOf, TimePoint aNow);
+  void RecordUpdates(std::size_t aReported, std::size_t aTotal, TimePoint aNow);
   /** Returns true iff enough updates have come to choose among upstreams. */
   bool HasEnoughUpdates(TimePoint aNow) const;
   /** Returns the time that a request may still wait; empty iff it is to be
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -39,17 +39,17 @@
     return false;
   }
   const std::weak_ptr<Exchange> weak = weak_from_this();
-  const auto goOn = [weak] {
+  const auto resume = [weak] {
     if (const auto self = weak.lock(); self && self->mWaitingForStartup) {
       self->ResumeAfterStartup();
     }
   };
   mWaitingForStartup = true;
-  mCore.mStartupWaiters.emplace_back(goOn);
+  mCore.mStartupWaiters.emplace_back(resume);
   mWaitTimer.expires_after(*wait);
-  mWaitTimer.async_wait([goOn](http::ErrorCode aError) {
+  mWaitTimer.async_wait([resume](http::ErrorCode aError) {
     if (!aError) {
-      goOn();
+      resume();
     }
   });
   return true;
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -99,17 +99,17 @@
    * waited for it, once it was the last one due. */
   void HandleLoadResponse(const LoadTold& aTold)
   {
-    const auto asking = mLoadWaiters.find(aTold.mTag);
+    const auto waiter = mLoadWaiters.find(aTold.mTag);
     for (const LoadLine& line : aTold.mLines) {
       mBoard.TakeKept(line, mNow());
-      if (asking != mLoadWaiters.end()) {
-        asking->second.mOnLoad(line);
+      if (waiter != mLoadWaiters.end()) {
+        waiter->second.mOnLoad(line);
       }
     }
-    if (mLoadQueries.Take(aTold) && asking != mLoadWaiters.end()) {
-      const auto goOn = std::move(asking->second.mResume);
-      mLoadWaiters.erase(asking);
-      goOn();
+    if (mLoadQueries.Take(aTold) && waiter != mLoadWaiters.end()) {
+      const auto resume = std::move(waiter->second.mResume);
+      mLoadWaiters.erase(waiter);
+      resume();
     }
   }
 
@@ -133,8 +133,8 @@
    * have been received. */
   void ResumeStartupWaiters()
   {
-    for (const auto& goOn : std::exchange(mStartupWaiters, {})) {
-      goOn();
+    for (const auto& resume : std::exchange(mStartupWaiters, {})) {
+      resume();
     }
   }
 };
--- a/src/gateway/StartupPolicy.cpp
+++ b/src/gateway/StartupPolicy.cpp
@@ -27,14 +27,14 @@
 }
 
 void
-StartupPolicy::RecordUpdates(std::size_t aHeard,
-                             std::size_t aOf,
+StartupPolicy::RecordUpdates(std::size_t aReported,
+                             std::size_t aTotal,
                              TimePoint aNow)
 {
-  if (aHeard > 0) {
+  if (aReported > 0) {
     mFirstUpdateAt = mFirstUpdateAt.value_or(aNow);
   }
-  mAllReported = mAllReported || (aOf > 0 && aHeard >= aOf);
+  mAllReported = mAllReported || (aTotal > 0 && aReported >= aTotal);
 }
 
 // Each control replica reports only the upstreams that are registered with it.
