--- a/bench/AdmissionBench.cpp
+++ b/bench/AdmissionBench.cpp
@@ -52,10 +52,10 @@
   for (auto _ : aState) {
     const auto& customer = customers[next++ % customers.size()];
     benchmark::DoNotOptimize(
-      admission.Ask({ .mKey = { customer.mCustomer, "key" },
-                      .mDeadline = kStart + std::chrono::seconds(30) },
-                    customer,
-                    kStart));
+      admission.Admit({ .mKey = { customer.mCustomer, "key" },
+                        .mDeadline = kStart + std::chrono::seconds(30) },
+                      customer,
+                      kStart));
     admission.Ended(customer.mCustomer, std::chrono::milliseconds(500));
   }
 }
--- a/bench/QuarantineBench.cpp
+++ b/bench/QuarantineBench.cpp
@@ -32,16 +32,17 @@
 QuarantineGateAskAndAnswer(benchmark::State& aState)
 {
   routing::QuarantineGate gate;
-  routing::QuarantineTold told{ .mFrom = 0, .mTo = 2 };
+  routing::QuarantineUpdate told{ .mFrom = 0, .mTo = 2 };
   for (std::int64_t i = 0; i < aState.range(0); ++i) {
     told.mLines.push_back(
       { .mContent = { .mLow = static_cast<std::uint64_t>(i) },
         .mStage = routing::QuarantineStage::kRefused });
   }
-  gate.Take(told, kNow);
+  gate.ApplyUpdate(told, kNow);
   const ContentId content{ .mHigh = 1, .mLow = 1U << 30 };
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(gate.Ask(content, std::chrono::seconds(4), kNow));
+    benchmark::DoNotOptimize(
+      gate.Check(content, std::chrono::seconds(4), kNow));
     benchmark::DoNotOptimize(gate.Answered(0, content, kNow));
   }
 }
--- a/include/peridotspool/gateway/QuotaBank.h
+++ b/include/peridotspool/gateway/QuotaBank.h
@@ -87,7 +87,7 @@
 
   bool HasLimits() const { return !mAccounts.empty(); }
   /** Customers that were refused something since the last call. */
-  std::vector<QuotaFigures> TakeFigures();
+  std::vector<QuotaFigures> UpdateStats();
   /** The part of the limits' rate that is given here. */
   double FlowPart() const { return 1.0 - mLeases.OwnPart(); }
   const QuotaLeases& Leases() const { return mLeases; }
--- a/include/peridotspool/routing/Admission.h
+++ b/include/peridotspool/routing/Admission.h
@@ -20,7 +20,7 @@
   /** Requests of one service that this entry has at upstreams at once. */
   std::size_t mMaxRunning = 256;
   /** Expected time of a request before one has ended. */
-  Duration mFirstHold = std::chrono::milliseconds(500);
+  Duration mInitialHoldTime = std::chrono::milliseconds(500);
 };
 
 /** A request that asks to be admitted. */
@@ -38,16 +38,16 @@
  * meet its deadline is refused when it asks, not when it is too late.
  *
  * Each admitted request ends with Ended; each queued one is given out by Next
- * or Late. Pure; not thread-safe.
+ * or TakeExpired. Pure; not thread-safe.
  */
 class Admission
 {
 public:
   Admission(AdmissionOptions aOptions, MemberId aSelf);
 
-  AdmissionOutcome Ask(const AdmissionQuery& aQuery,
-                       const settings::EffectiveService& aSettings,
-                       TimePoint aNow);
+  AdmissionOutcome Admit(const AdmissionQuery& aQuery,
+                         const settings::EffectiveService& aSettings,
+                         TimePoint aNow);
 
   /** A request that ran has ended, after aTook at its upstream. */
   void Ended(const CustomerName& aCustomer, Duration aTook);
@@ -56,7 +56,7 @@
   std::optional<QueuedRequest> Next();
 
   /** Takes queued requests that can't meet their deadline any more. */
-  std::vector<QueuedRequest> Late(TimePoint aNow);
+  std::vector<QueuedRequest> TakeExpired(TimePoint aNow);
 
   /** Changes how many run at once, as the upstreams in sight change. */
   void SetMaxRunning(std::size_t aMaxRunning);
@@ -70,10 +70,10 @@
    * Takes what the entries published for a customer, this one included; those
    * that published nothing have no demand.
    */
-  void TakeDemand(const CustomerName& aCustomer,
-                  const PublishedDemand& aPublished,
-                  const settings::EffectiveService& aSettings,
-                  TimePoint aNow);
+  void SetPublishedDemand(const CustomerName& aCustomer,
+                          const PublishedDemand& aPublished,
+                          const settings::EffectiveService& aSettings,
+                          TimePoint aNow);
 
   std::size_t Running() const { return mRunning; }
   std::size_t Waiting() const { return mQueue.Size(); }
@@ -82,15 +82,15 @@
   /** A customer's limits, and what this entry's part was reckoned from. */
   struct CustomerLimit
   {
-    settings::Limits mWhole;
+    settings::Limits mTotal;
     PublishedDemand mPublished;
     std::uint64_t mMembersVersion = 0;
-    SharedLimit mPart;
+    SharedLimit mShare;
   };
 
   SharedLimit& LimitOf(const settings::EffectiveService& aSettings,
                        TimePoint aNow);
-  settings::Limits PartOf(const CustomerLimit& aLimit) const;
+  settings::Limits ShareOf(const CustomerLimit& aLimit) const;
   Duration ExpectedWait(const CustomerName& aCustomer) const;
   AdmissionOutcome Enqueue(const AdmissionQuery& aQuery);
 
--- a/include/peridotspool/routing/SpreadTargets.h
+++ b/include/peridotspool/routing/AnnouncementTargets.h
@@ -8,7 +8,7 @@
 namespace peridotspool::routing {
 
 /** Entries that get an upstream's announcements; with fewer, all do. */
-inline constexpr std::size_t kSpreadTargets = 16;
+inline constexpr std::size_t kMaxAnnouncementTargets = 16;
 
 /**
  * Returns the entries that need an upstream's announcements, ordered by id:
@@ -16,7 +16,7 @@
  * leaves, at most one target of an upstream changes.
  */
 std::vector<MemberId>
-SpreadTargets(const UpstreamName& aUpstream,
-              const std::vector<MemberId>& aMembers);
+AnnouncementTargets(const UpstreamName& aUpstream,
+                    const std::vector<MemberId>& aMembers);
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/AnswerMemory.h
+++ b/include/peridotspool/routing/CompletionCache.h
@@ -16,24 +16,24 @@
  *
  * Not thread-safe.
  */
-class AnswerMemory
+class CompletionCache
 {
 public:
-  void Note(const ContentId& aContent, TimePoint aNow);
+  void Record(const ContentId& aContent, TimePoint aNow);
   /** Empty where it wasn't answered lately, as far as is remembered. */
   std::optional<Duration> AgeOf(const ContentId& aContent,
                                 TimePoint aNow) const;
 
 private:
-  struct Answer
+  struct Completion
   {
     ContentId mContent;
-    TimePoint mAt;
+    TimePoint mCompletedAt;
   };
 
-  static constexpr std::size_t kPlaces = 1024;
+  static constexpr std::size_t kSlots = 1024;
 
-  std::array<std::optional<Answer>, kPlaces> mAnswers;
+  std::array<std::optional<Completion>, kSlots> mSlots;
 };
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/CrashReport.h
+++ b/include/peridotspool/routing/CrashReport.h
@@ -11,7 +11,7 @@
 namespace peridotspool::routing {
 
 /** A content that a life of an upstream was running when it ended. */
-struct CrashLine
+struct ReportedCrash
 {
   ContentId mContent;
   UpstreamName mUpstream;
@@ -20,37 +20,37 @@
   std::uint32_t mSentAgoMs = 0;
   std::uint32_t mLostAgoMs = 0;
   /** It had the turn of a content that runs once at a time. */
-  bool mHadTurn = false;
+  bool mHadPermit = false;
 
-  auto operator<=>(const CrashLine&) const = default;
+  auto operator<=>(const ReportedCrash&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(
-  CrashLine,
+  ReportedCrash,
   (),
-  (mContent, mUpstream, mIncarnation, mSentAgoMs, mLostAgoMs, mHadTurn))
+  (mContent, mUpstream, mIncarnation, mSentAgoMs, mLostAgoMs, mHadPermit))
 
 /** From an entry to the control leader, until that has it. */
 struct CrashReport
 {
   /** Names the report among those of the entry's process. */
   std::uint64_t mNumber = 0;
-  std::vector<CrashLine> mLines;
+  std::vector<ReportedCrash> mLines;
 
   auto operator<=>(const CrashReport&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(CrashReport, (), (mNumber, mLines))
 
 /** From the leader: it has the report. */
-struct CrashTaken
+struct CrashReportAck
 {
   std::uint64_t mNumber = 0;
 
-  auto operator<=>(const CrashTaken&) const = default;
+  auto operator<=>(const CrashReportAck&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(CrashTaken, (), (mNumber))
+BOOST_DESCRIBE_STRUCT(CrashReportAck, (), (mNumber))
 
 /** To the leader: may a request of this content be run now? */
-struct TurnAsk
+struct PermitRequest
 {
   ContentId mContent;
   /** The entry's number of the request. */
@@ -58,21 +58,21 @@
   /** The request is over by then, in milliseconds. */
   std::uint32_t mForMs = 0;
 
-  auto operator<=>(const TurnAsk&) const = default;
+  auto operator<=>(const PermitRequest&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TurnAsk, (), (mContent, mTag, mForMs))
+BOOST_DESCRIBE_STRUCT(PermitRequest, (), (mContent, mTag, mForMs))
 
-struct TurnAnswer
+struct PermitResponse
 {
   std::uint64_t mTag = 0;
   bool mGranted = false;
 
-  auto operator<=>(const TurnAnswer&) const = default;
+  auto operator<=>(const PermitResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TurnAnswer, (), (mTag, mGranted))
+BOOST_DESCRIBE_STRUCT(PermitResponse, (), (mTag, mGranted))
 
 /** To the leader: a request of a listed content is over. */
-struct TurnEnded
+struct RunEnded
 {
   ContentId mContent;
   /** 0 where it had no turn: it was sent before the content was listed. */
@@ -82,8 +82,8 @@
   /** So long before this was sent, in milliseconds. */
   std::uint32_t mAgoMs = 0;
 
-  auto operator<=>(const TurnEnded&) const = default;
+  auto operator<=>(const RunEnded&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TurnEnded, (), (mContent, mTag, mAnswered, mAgoMs))
+BOOST_DESCRIBE_STRUCT(RunEnded, (), (mContent, mTag, mAnswered, mAgoMs))
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/CrashReporter.h
+++ b/include/peridotspool/routing/CrashReporter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
+#include "peridotspool/routing/CrashDetector.h"
 #include "peridotspool/routing/CrashReport.h"
-#include "peridotspool/routing/CrashWitness.h"
 
 #include <cstdint>
 #include <deque>
@@ -13,34 +13,34 @@
 /**
  * Keeps what this entry saw of ended lives, and tells each control leader of it
  * until that has it: a message may be lost, and a new leader knows nothing of
- * what the one before had only heard.
+ * what the crash before had only heard.
  *
  * A pure step; not thread-safe.
  */
 class CrashReporter
 {
 public:
-  void Add(const EndedLife& aEnded);
+  void Add(const UpstreamCrash& aCrash);
   /** A leader that has heard nothing from here yet. */
-  void MeetLeader();
+  void OnNewLeader();
   /** What is to be sent to the leader now; empty for nothing. */
   std::optional<CrashReport> Report(TimePoint aNow);
-  void Take(const CrashTaken& aTaken);
+  void OnAck(const CrashReportAck& aAck);
   /** Forgets what is too old to count. */
   void Forget(TimePoint aNow);
 
 private:
-  struct Kept
+  struct BufferedCrash
   {
-    UpstreamLife mLife;
-    LostAnswer mLost;
-    bool mTaken = false;
+    UpstreamIncarnation mUpstream;
+    LostResponse mLost;
+    bool mAcknowledged = false;
     /** The last report that had it. */
-    std::uint64_t mReport = 0;
-    std::optional<TimePoint> mToldAt;
+    std::uint64_t mReportNumber = 0;
+    std::optional<TimePoint> mReportedAt;
   };
 
-  std::deque<Kept> mKept;
+  std::deque<BufferedCrash> mBuffered;
   std::uint64_t mLastReport = 0;
 };
 
--- a/include/peridotspool/routing/EjectionOptions.h
+++ b/include/peridotspool/routing/EjectionOptions.h
@@ -16,10 +16,11 @@
   /** How many times slower than its service's mean counts as slow. */
   double mSlowFactor = 5;
   /** The first ejection's time; doubles with each that follows soon. */
-  Duration mFirst = std::chrono::seconds(2);
-  Duration mLongest = std::chrono::seconds(60);
-  /** Without an ejection for this long the time starts from mFirst again. */
-  Duration mForgive = std::chrono::minutes(5);
+  Duration mInitialTime = std::chrono::seconds(2);
+  Duration mMaxTime = std::chrono::seconds(60);
+  /** Without an ejection for this long the time starts from mInitialTime again.
+   */
+  Duration mResetAfter = std::chrono::minutes(5);
   /** At most this share of a service's upstreams is ejected at once. */
   double mMaxShare = 0.3;
 };
--- a/include/peridotspool/routing/FairQueue.h
+++ b/include/peridotspool/routing/FairQueue.h
@@ -58,7 +58,7 @@
   std::optional<QueuedRequest> Pop();
 
   /** Takes all requests whose deadline is before aTime. */
-  std::vector<QueuedRequest> TakeLate(TimePoint aTime);
+  std::vector<QueuedRequest> TakeExpired(TimePoint aTime);
 
   std::size_t Size() const { return mSize; }
   /** Requests of a customer that wait. */
@@ -78,13 +78,13 @@
   };
 
   double StartTag(const Customer& aCustomer) const;
-  bool GoesBefore(const Customer& aLeft, const Customer& aRight) const;
+  bool IsServedBefore(const Customer& aLeft, const Customer& aRight) const;
   QueuedRequest TakeFirst(Customer& aCustomer);
-  static std::size_t TakeLate(Customer& aCustomer,
-                              TimePoint aTime,
-                              std::vector<QueuedRequest>& aLate);
+  static std::size_t TakeExpired(Customer& aCustomer,
+                                 TimePoint aTime,
+                                 std::vector<QueuedRequest>& aLate);
   /** Returns the customer, added with weight 1 if it was not known. */
-  Customer& Known(const CustomerName& aCustomer);
+  Customer& FindOrAdd(const CustomerName& aCustomer);
 
   FairQueueOptions mOptions;
   std::map<CustomerName, Customer> mCustomers;
--- a/include/peridotspool/routing/Quarantine.h
+++ b/include/peridotspool/routing/Quarantine.h
@@ -61,26 +61,26 @@
 };
 BOOST_DESCRIBE_STRUCT(QuarantineRow, (), (mNumber, mChange))
 
-/** What an entry is told of one content. */
-struct QuarantineLine
+/** What an entry is update of one content. */
+struct QuarantineStatus
 {
   ContentId mContent;
   QuarantineStage mStage = QuarantineStage::kCleared;
 
-  auto operator<=>(const QuarantineLine&) const = default;
+  auto operator<=>(const QuarantineStatus&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(QuarantineLine, (), (mContent, mStage))
+BOOST_DESCRIBE_STRUCT(QuarantineStatus, (), (mContent, mStage))
 
 /** To an entry: the changes after mFrom up to mTo; from 0 it is the table. */
-struct QuarantineTold
+struct QuarantineUpdate
 {
   std::uint64_t mFrom = 0;
   std::uint64_t mTo = 0;
-  std::vector<QuarantineLine> mLines;
+  std::vector<QuarantineStatus> mLines;
 
-  auto operator<=>(const QuarantineTold&) const = default;
+  auto operator<=>(const QuarantineUpdate&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(QuarantineTold, (), (mFrom, mTo, mLines))
+BOOST_DESCRIBE_STRUCT(QuarantineUpdate, (), (mFrom, mTo, mLines))
 
 /**
  * The contents that are treated unlike others; a part of what the control log
@@ -91,18 +91,18 @@
   /** Of the last change; entries that know nothing yet know 0. */
   std::uint64_t mNumber = 1;
   /** Whoever knows less than this lacks a row that is kept no more. */
-  std::uint64_t mWholeBelow = 0;
+  std::uint64_t mMinDeltaBase = 0;
   /** In rising order of their numbers; a content stands in one at most. */
   std::vector<QuarantineRow> mRows;
 
   /** Null where the content was never touched, or long ago. */
   const QuarantineRow* Find(const ContentId& aContent) const;
   void Apply(const QuarantineChange& aChange);
-  /** What somebody who knows the changes up to aKnown lacks. */
-  QuarantineTold Since(std::uint64_t aKnown) const;
+  /** What somebody who knows the changes up to aKnownNumber lacks. */
+  QuarantineUpdate UpdateSince(std::uint64_t aKnownNumber) const;
 
   auto operator<=>(const QuarantineTable&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(QuarantineTable, (), (mNumber, mWholeBelow, mRows))
+BOOST_DESCRIBE_STRUCT(QuarantineTable, (), (mNumber, mMinDeltaBase, mRows))
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/QuarantineGate.h
+++ b/include/peridotspool/routing/QuarantineGate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/routing/AnswerMemory.h"
+#include "peridotspool/routing/CompletionCache.h"
 #include "peridotspool/routing/CrashReport.h"
 #include "peridotspool/routing/Quarantine.h"
 
@@ -18,41 +18,41 @@
 enum class GateOutcome
 {
   /** Like any other. */
-  kGoes,
-  /** It has the turn of its content; Ended is to be called. */
-  kHasTurn,
-  /** The leader is asked for its turn; a GateDecided follows. */
-  kWaits,
+  kAllowed,
+  /** It has the permit of its content; Ended is to be called. */
+  kHasPermit,
+  /** The leader is asked for its permit; a GateDecision follows. */
+  kWaitsForPermit,
   /** It ended three upstreams in a row. */
   kRefused,
-  /** Its turn has not come in time. */
-  kTooLate,
+  /** Its permit has not come in time. */
+  kPermitTimeout,
 };
 
-struct GateAnswer
+struct GateResult
 {
-  GateOutcome mOutcome = GateOutcome::kGoes;
-  /** Names the request in later calls; set with kWaits. */
+  GateOutcome mOutcome = GateOutcome::kAllowed;
+  /** Names the request in later calls; set with kWaitsForPermit. */
   std::uint64_t mTag = 0;
-  /** With kWaits: what to send to the leader. */
-  TurnAsk mAsk;
+  /** With kWaitsForPermit: what to send to the leader. */
+  PermitRequest mPermitRequest;
 };
 
 /** The late outcome of a request that waited. */
-struct GateDecided
+struct GateDecision
 {
   std::uint64_t mTag = 0;
-  GateOutcome mOutcome = GateOutcome::kGoes;
+  GateOutcome mOutcome = GateOutcome::kAllowed;
 
-  auto operator<=>(const GateDecided&) const = default;
+  auto operator<=>(const GateDecision&) const = default;
 };
 
 /** What is to be done for the gate. */
-struct GateTick
+struct GateActions
 {
-  std::vector<GateDecided> mDecided;
-  std::vector<TurnAsk> mAsks;
-  std::vector<TurnEnded> mEnded;
+  std::vector<GateDecision> mDecisions;
+  std::vector<PermitRequest> mPermitRequests;
+  std::vector<RunEnded> mEnded;
 };
 
 /**
@@ -66,28 +66,30 @@
 {
 public:
   /** The last change known here; 0 for none. */
-  std::uint64_t Known() const { return mKnown; }
-  bool Knows() const { return mKnown != 0; }
+  std::uint64_t KnownNumber() const { return mKnownNumber; }
+  bool HasTable() const { return mKnownNumber != 0; }
   QuarantineStage StageOf(const ContentId& aContent) const;
-  std::size_t Listed() const { return mListed.size(); }
+  std::size_t ListedCount() const { return mListed.size(); }
 
   /** Gives the requests that need not wait any more, and answers to contents
    * that are listed from now on. */
-  GateTick Take(const QuarantineTold& aTold, TimePoint aNow);
-  GateAnswer Ask(const ContentId& aContent, Duration aTimeLeft, TimePoint aNow);
-  std::optional<GateDecided> Take(const TurnAnswer& aAnswer);
+  GateActions ApplyUpdate(const QuarantineUpdate& aUpdate, TimePoint aNow);
+  GateResult Check(const ContentId& aContent,
+                   Duration aTimeLeft,
+                   TimePoint aNow);
+  std::optional<GateDecision> OnPermitResponse(const PermitResponse& aResponse);
   /** About every 50 ms. */
-  GateTick Tick(TimePoint aNow);
+  GateActions Tick(TimePoint aNow);
   /** The caller of a request that waits has gone. */
-  void Forget(std::uint64_t aTag);
-  /** The request that has this turn was not run after all. */
-  TurnEnded Ended(std::uint64_t aTag);
-  /** An upstream has answered a request completely; aTag is its turn, or 0.
+  void Cancel(std::uint64_t aTag);
+  /** The request that has this permit was not run after all. */
+  RunEnded Ended(std::uint64_t aTag);
+  /** An upstream has answered a request completely; aTag is its permit, or 0.
    * Returns what the leader is to be told, if anything. */
-  std::optional<TurnEnded> Answered(std::uint64_t aTag,
-                                    const ContentId& aContent,
-                                    TimePoint aNow);
-  /** Its answer was lost; what ended is not known yet. */
+  std::optional<RunEnded> Answered(std::uint64_t aTag,
+                                   const ContentId& aContent,
+                                   TimePoint aNow);
+  /** Its result was lost; what ended is not known yet. */
   void Lost(std::uint64_t aTag, TimePoint aNow);
 
 private:
@@ -96,21 +98,21 @@
     ContentId mContent;
     TimePoint mSince;
     TimePoint mUntil;
-    TimePoint mAskedAt;
+    TimePoint mRequestedAt;
   };
-  struct Turn
+  struct Permit
   {
     ContentId mContent;
     /** When it is given back; unset while its request is being run. */
-    std::optional<TimePoint> mBackAt;
+    std::optional<TimePoint> mReleaseAt;
   };
 
-  std::uint64_t mKnown = 0;
+  std::uint64_t mKnownNumber = 0;
   std::unordered_map<ContentId, QuarantineStage> mListed;
   std::uint64_t mLastTag = 0;
   std::map<std::uint64_t, Waiting> mWaiting;
-  std::map<std::uint64_t, Turn> mTurns;
-  AnswerMemory mAnswers;
+  std::map<std::uint64_t, Permit> mPermits;
+  CompletionCache mCompletions;
 };
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/QuarantineBank.h
+++ b/include/peridotspool/routing/QuarantineManager.h
@@ -22,31 +22,34 @@
  * An upstream may end for reasons of its own, and hundreds of requests with it.
  * So a content is held back only after three ends in a row: each run sent after
  * the one before had ended, one of them the only run of the content, and no
- * complete answer between.
+ * complete response between.
  *
  * A pure step; not thread-safe.
  */
-class QuarantineBank
+class QuarantineManager
 {
 public:
-  QuarantineBank() = default;
+  QuarantineManager() = default;
   /** A new leader begins with what is committed. */
-  QuarantineBank(const QuarantineTable& aCommitted, TimePoint aNow);
+  QuarantineManager(const QuarantineTable& aCommitted, TimePoint aNow);
 
-  CrashTaken Take(const Address& aFrom,
-                  const CrashReport& aReport,
-                  const QuarantineTable& aCommitted,
-                  TimePoint aNow);
-  TurnAnswer Take(const Address& aFrom,
-                  const TurnAsk& aAsk,
-                  const QuarantineTable& aCommitted,
-                  TimePoint aNow);
-  void Take(const Address& aFrom, const TurnEnded& aEnded, TimePoint aNow);
+  CrashReportAck HandleReport(const Address& aFrom,
+                              const CrashReport& aReport,
+                              const QuarantineTable& aCommitted,
+                              TimePoint aNow);
+  PermitResponse HandlePermitRequest(const Address& aFrom,
+                                     const PermitRequest& aRequest,
+                                     const QuarantineTable& aCommitted,
+                                     TimePoint aNow);
+  void HandleRunEnded(const Address& aFrom,
+                      const RunEnded& aEnded,
+                      TimePoint aNow);
   /** An entry has refused a request of this content. */
-  void CameAgain(const ContentId& aContent, TimePoint aNow);
+  void RecordResubmission(const ContentId& aContent, TimePoint aNow);
   /** Changes to commit; each comes again until it is committed. */
-  std::vector<QuarantineChange> Due(const QuarantineTable& aCommitted,
-                                    TimePoint aNow);
+  std::vector<QuarantineChange> PendingChanges(
+    const QuarantineTable& aCommitted,
+    TimePoint aNow);
 
   std::size_t Size() const { return mSuspects.size(); }
 
@@ -56,9 +59,9 @@
     CrashRecord mRecord;
     TimePoint mSentAt;
     TimePoint mLostAt;
-    bool mHadTurn = false;
+    bool mHadPermit = false;
   };
-  struct Turn
+  struct Permit
   {
     Address mFrom;
     std::uint64_t mTag = 0;
@@ -67,41 +70,41 @@
   struct Suspect
   {
     /** Committed before this leader's time. */
-    std::uint32_t mCountedBefore = 0;
-    std::vector<CrashRecord> mBefore;
-    TimePoint mBeforeUntil;
-    bool mRefusedBefore = false;
+    std::uint32_t mCommittedCount = 0;
+    std::vector<CrashRecord> mCommittedCrashes;
+    TimePoint mCommittedUntil;
+    bool mCommittedRefusal = false;
     std::vector<Crash> mCrashes;
-    std::optional<Turn> mTurn;
+    std::optional<Permit> mPermit;
     bool mAnswered = false;
     std::optional<TimePoint> mTouchedAt;
     std::optional<TimePoint> mProposedAt;
     QuarantineStage mProposed = QuarantineStage::kCleared;
   };
 
-  static std::uint32_t Counted(const Suspect& aSuspect);
-  static bool HadTurn(const Suspect& aSuspect);
+  static std::uint32_t CountSequential(const Suspect& aSuspect);
+  static bool HadPermit(const Suspect& aSuspect);
   static QuarantineStage StageOf(const Suspect& aSuspect);
-  static void ForgetBefore(TimePoint aAnsweredAt, Suspect& aSuspect);
-  static bool Knows(const Suspect& aSuspect, const CrashRecord& aLife);
+  static void DropCrashesBefore(TimePoint aAnsweredAt, Suspect& aSuspect);
+  static bool IsKnown(const Suspect& aSuspect, const CrashRecord& aRecord);
   static QuarantineChange ChangeOf(const ContentId& aContent,
                                    const Suspect& aSuspect);
-  void TakeLine(const Address& aFrom,
-                const CrashLine& aLine,
-                const QuarantineTable& aCommitted,
-                TimePoint aNow);
+  void RecordCrash(const Address& aFrom,
+                   const ReportedCrash& aReported,
+                   const QuarantineTable& aCommitted,
+                   TimePoint aNow);
   void Touch(const ContentId& aContent, Suspect& aSuspect, TimePoint aNow);
-  void MakeRoom();
-  void NoteCommitted(const QuarantineTable& aCommitted);
-  void ForgetOld(TimePoint aNow);
+  void EvictSuspects();
+  void SyncCommitted(const QuarantineTable& aCommitted);
+  void ExpireSuspects(TimePoint aNow);
 
   std::unordered_map<ContentId, Suspect> mSuspects;
   /** In the order in which they were touched; may name one more than once. */
   std::deque<std::pair<TimePoint, ContentId>> mOrder;
   /** Contents whose treatment may have to change. */
-  std::set<ContentId> mOpen;
+  std::set<ContentId> mDirty;
   /** Committed changes up to this one have been looked at. */
-  std::uint64_t mSeen = 0;
+  std::uint64_t mAppliedNumber = 0;
 };
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/RetryBudget.h
+++ b/include/peridotspool/routing/RetryBudget.h
@@ -27,7 +27,7 @@
   {
   }
 
-  void CountFirstTry()
+  void CountFirstAttempt()
   {
     mTokens = std::min(mOptions.mBurst, mTokens + mOptions.mShare);
   }
--- a/include/peridotspool/routing/RetryDecision.h
+++ b/include/peridotspool/routing/RetryDecision.h
@@ -31,13 +31,13 @@
 using RetryDecision = std::variant<RetryAfterPause, NoRetry>;
 
 /** A request whose try has just failed. */
-struct FailedTry
+struct FailedAttempt
 {
   /** Tries so far, this one included. */
-  std::uint64_t mTries = 1;
+  std::uint64_t mAttempts = 1;
   TimePoint mDeadline;
   /** The least time that another try needs. */
-  Duration mLeastTime{ 0 };
+  Duration mMinTime{ 0 };
   /** Any number; the same number gives the same pause. */
   std::uint64_t mRandom = 0;
 };
@@ -49,7 +49,7 @@
  * answer is to try again.
  */
 RetryDecision
-DecideRetry(const FailedTry& aTry,
+DecideRetry(const FailedAttempt& aAttempt,
             const settings::RetryRules& aRules,
             RetryBudget& aBudget,
             TimePoint aNow);
--- a/include/peridotspool/routing/RouteChoice.h
+++ b/include/peridotspool/routing/RouteChoice.h
@@ -28,7 +28,7 @@
   Incarnation mIncarnation;
   UpstreamKind mKind = UpstreamKind::kModelEngine;
   Address mAddress;
-  std::vector<CandidateScore> mWeighed;
+  std::vector<CandidateScore> mCandidateScores;
 };
 
 /** Why no upstream was chosen. */
--- a/include/peridotspool/routing/Router.h
+++ b/include/peridotspool/routing/Router.h
@@ -50,10 +50,10 @@
   /** Drops upstreams whose lease ran out and lets ejected ones back in. */
   void Tick(TimePoint aNow);
 
-  /** Returns the upstream to use, or empty with the reason in aWhyNot. */
+  /** Returns the upstream to use, or empty with the reason in aReason. */
   std::optional<RouteChoice> Choose(const RouteQuery& aQuery,
                                     TimePoint aNow,
-                                    NoRoute& aWhyNot);
+                                    NoRoute& aReason);
 
   /** Counts a request that was sent to the upstream. */
   void Sent(const UpstreamName& aUpstream,
--- a/include/peridotspool/routing/RouterOptions.h
+++ b/include/peridotspool/routing/RouterOptions.h
@@ -17,9 +17,9 @@
   /** How many upstreams are compared for one request. */
   std::uint32_t mCandidates = 4;
   /** True iff other entries send to the same upstreams, unseen by this one. */
-  bool mOthersSend = true;
+  bool mOtherEntriesSend = true;
   /** Candidates weighed before a request is refused. */
-  std::uint32_t mLastLook = 32;
+  std::uint32_t mFallbackCandidates = 32;
   std::uint64_t mRandomSeed = 1;
   /**
    * No announcement holds longer, whatever it says, so that a leaving upstream
@@ -33,9 +33,9 @@
   /** Requests waiting inside an upstream, for each of its slots. */
   double mMaxWaitingPerSlot = 4;
   /** Expected time of a request before one has ended. */
-  Duration mFirstHold = std::chrono::milliseconds(500);
+  Duration mInitialHoldTime = std::chrono::milliseconds(500);
   /** What an upstream's requests took counts for this long after the last. */
-  Duration mHoldAge = std::chrono::seconds(10);
+  Duration mHoldTimeMaxAge = std::chrono::seconds(10);
   /** Blocks of prompts that the prefix index holds (a power of two). */
   std::uint32_t mPrefixBlocks = 1 << 16;
   EjectionOptions mEjection;
--- a/include/peridotspool/routing/SharedLimit.h
+++ b/include/peridotspool/routing/SharedLimit.h
@@ -20,11 +20,11 @@
 BOOST_DESCRIBE_ENUM(LimitReached, kRate, kConcurrency)
 
 /** How long a share has to hold before a larger one is used. */
-inline constexpr Duration kShareSettles = std::chrono::seconds(3);
+inline constexpr Duration kShareSettleTime = std::chrono::seconds(3);
 
 /**
- * One entry's part of a customer's limits: the least of the parts of the last
- * kShareSettles. A smaller part counts at once, a larger one only when the
+ * One entry's share of a customer's limits: the lowest of the parts of the last
+ * kShareSettleTime. A smaller share counts at once, a larger one only when the
  * others have had the time to hear of what shrank theirs.
  */
 class SharedLimit
@@ -35,7 +35,7 @@
   void SetShare(const settings::Limits& aShare, TimePoint aNow);
 
   /** Counts a request in, or says which limit it would exceed. */
-  std::optional<LimitReached> Take(TimePoint aNow);
+  std::optional<LimitReached> TryAcquire(TimePoint aNow);
   /** A request that was counted in has ended. */
   void Release();
 
@@ -43,24 +43,24 @@
   Duration UntilNext(TimePoint aNow);
   /** Requests a second that were asked for lately, refused ones included. */
   double Demand(TimePoint aNow);
-  /** The part that counts now. */
+  /** The share that counts now. */
   const settings::Limits& InForce(TimePoint aNow);
   std::uint64_t InUse() const { return mInUse; }
 
 private:
-  /** A part, and since when it is the newest. */
-  struct Part
+  /** A share, and since when it is the newest. */
+  struct Share
   {
     TimePoint mSince;
     settings::Limits mLimits;
   };
 
-  void Settle(TimePoint aNow);
-  void CountDemand(TimePoint aNow, double aAsked);
+  void UpdateInForce(TimePoint aNow);
+  void CountDemand(TimePoint aNow, double aRequests);
 
   settings::Limits mInForce;
-  /** Those that were the newest within the last kShareSettles. */
-  std::deque<Part> mParts;
+  /** Those that were the newest within the last kShareSettleTime. */
+  std::deque<Share> mShares;
   TokenBucket mBucket;
   std::uint64_t mInUse = 0;
   double mDemand = 0;
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -62,7 +62,7 @@
 {
   const bool isFirst = mRuns == 0 && mRefusals == 0;
   const bool knows = mCore.mStartPlan.KnowsEnough(mCore.mNow()) &&
-                     mCore.mGate.Knows() && mCore.mRollouts.Knows();
+                     mCore.mGate.HasTable() && mCore.mRollouts.Knows();
   if (isFirst && !knows && WaitForStart()) {
     return;
   }
--- a/src/gateway/ExchangeAnswer.cpp
+++ b/src/gateway/ExchangeAnswer.cpp
@@ -224,8 +224,8 @@
 void
 Exchange::WitnessBreak(const LinkFailure& aFailure)
 {
-  const routing::UpstreamLife life{ .mName = mUpstream,
-                                    .mIncarnation = mSent.mIncarnation };
+  const routing::UpstreamIncarnation life{ .mName = mUpstream,
+                                           .mIncarnation = mSent.mIncarnation };
   if (aFailure.mRefused) {
     mCore.NoteRefused(life);
     return;
@@ -238,7 +238,7 @@
                                          { .mContent = mContent,
                                            .mSentAt = mSent.mSentAt,
                                            .mLostAt = mCore.mNow(),
-                                           .mHadTurn = mTurn != 0 });
+                                           .mHadPermit = mTurn != 0 });
   mCore.mGate.Lost(std::exchange(mTurn, 0), mCore.mNow());
   if (ended) {
     mCore.NoteEnded(*ended);
--- a/src/gateway/ExchangeGate.cpp
+++ b/src/gateway/ExchangeGate.cpp
@@ -30,11 +30,11 @@
     return true;
   }
   const TimePoint now = mCore.mNow();
-  const auto answer = mCore.mGate.Ask(mContent, TimeLeft(), now);
-  if (answer.mOutcome == GateOutcome::kGoes) {
+  const auto answer = mCore.mGate.Check(mContent, TimeLeft(), now);
+  if (answer.mOutcome == GateOutcome::kAllowed) {
     return true;
   }
-  if (answer.mOutcome != GateOutcome::kWaits) {
+  if (answer.mOutcome != GateOutcome::kWaitsForPermit) {
     RefuseAtGate(answer.mOutcome);
     return false;
   }
@@ -46,7 +46,7 @@
       self->OnGate(tag, aOutcome);
     }
   };
-  mCore.mTellLeader(answer.mAsk);
+  mCore.mTellLeader(answer.mPermitRequest);
   return false;
 }
 
@@ -54,11 +54,11 @@
 Exchange::OnGate(std::uint64_t aTag, GateOutcome aOutcome)
 {
   mGateTag = 0;
-  if (aOutcome == GateOutcome::kHasTurn) {
+  if (aOutcome == GateOutcome::kHasPermit) {
     mTurn = aTag;
     LogTurn("has it");
     GoOnFromGate();
-  } else if (aOutcome == GateOutcome::kGoes) {
+  } else if (aOutcome == GateOutcome::kAllowed) {
     GoOnFromGate();
   } else {
     LogTurn("waited in vain");
@@ -102,7 +102,7 @@
                       { "reason", refused ? "quarantine" : "no_turn" },
                       { "content", ToText(mContent) },
                       { "service", mService },
-                      { "quarantine", mCore.mGate.Known() },
+                      { "quarantine", mCore.mGate.KnownNumber() },
                       { "asked_ms", mCore.mNow() - mArrivedAt } });
   AnswerOwn(kUnavailable, reason, refused ? kComeBackRefused : kComeBackNoTurn);
 }
@@ -122,7 +122,7 @@
 {
   if (mGateTag != 0) {
     mCore.mAtGate.erase(mGateTag);
-    mCore.mGate.Forget(std::exchange(mGateTag, 0));
+    mCore.mGate.Cancel(std::exchange(mGateTag, 0));
   }
   if (mTurn != 0) {
     mCore.mTellLeader(mCore.mGate.Ended(std::exchange(mTurn, 0)));
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMostCameAgain = 16;
 
 std::string
-ContentsOf(const routing::EndedLife& aEnded)
+ContentsOf(const routing::UpstreamCrash& aEnded)
 {
   std::string text;
   const std::size_t named = std::min(kMostNamed, aEnded.mLost.size());
@@ -25,7 +25,7 @@
 } // namespace
 
 void
-GatewayCore::NoteRefused(const routing::UpstreamLife& aLife)
+GatewayCore::NoteRefused(const routing::UpstreamIncarnation& aLife)
 {
   if (const auto ended = mWitness.Refused(aLife, mNow())) {
     NoteEnded(*ended);
@@ -33,16 +33,17 @@
 }
 
 void
-GatewayCore::NoteEnded(const routing::EndedLife& aEnded)
+GatewayCore::NoteEnded(const routing::UpstreamCrash& aEnded)
 {
   mCounters.Add(observe::CounterId::kUpstreamEnded);
   mLogger.Log(
     observe::EventId::kUpstreamEnded,
-    { { "upstream", aEnded.mLife.mName },
-      { "incarnation", aEnded.mLife.mIncarnation },
+    { { "upstream", aEnded.mUpstream.mName },
+      { "incarnation", aEnded.mUpstream.mIncarnation },
       { "shown_by",
-        aEnded.mShownBy == routing::EndShownBy::kNextLife ? "its next life"
-                                                          : "a refusal" },
+        aEnded.mCrashEvidence == routing::CrashEvidence::kNewIncarnation
+          ? "its next life"
+          : "a refusal" },
       { "lost", aEnded.mLost.size() },
       { "contents", ContentsOf(aEnded) } });
   mCrashes.Add(aEnded);
@@ -74,31 +75,31 @@
 }
 
 void
-GatewayCore::CarryOut(const routing::GateTick& aTick)
+GatewayCore::CarryOut(const routing::GateActions& aTick)
 {
-  for (const routing::TurnAsk& ask : aTick.mAsks) {
+  for (const routing::PermitRequest& ask : aTick.mPermitRequests) {
     mTellLeader(ask);
   }
-  for (const routing::TurnEnded& ended : aTick.mEnded) {
+  for (const routing::RunEnded& ended : aTick.mEnded) {
     mTellLeader(ended);
   }
-  for (const routing::GateDecided& decided : aTick.mDecided) {
+  for (const routing::GateDecision& decided : aTick.mDecisions) {
     Decide(decided);
   }
 }
 
 void
-GatewayCore::TakeTold(const routing::QuarantineTold& aTold)
+GatewayCore::TakeTold(const routing::QuarantineUpdate& aTold)
 {
-  const std::uint64_t before = mGate.Known();
-  const routing::GateTick tick = mGate.Take(aTold, mNow());
-  if (mGate.Known() != before) {
-    mCounters.Set(observe::CounterId::kQuarantined, mGate.Listed());
+  const std::uint64_t before = mGate.KnownNumber();
+  const routing::GateActions tick = mGate.ApplyUpdate(aTold, mNow());
+  if (mGate.KnownNumber() != before) {
+    mCounters.Set(observe::CounterId::kQuarantined, mGate.ListedCount());
     mLogger.Log(observe::EventId::kQuarantineTaken,
                 { { "from", aTold.mFrom },
                   { "to", aTold.mTo },
                   { "changed", aTold.mLines.size() },
-                  { "listed", mGate.Listed() } });
+                  { "listed", mGate.ListedCount() } });
   }
   CarryOut(tick);
   WakeStarting();
@@ -119,15 +120,15 @@
 }
 
 void
-GatewayCore::TakeTurn(const routing::TurnAnswer& aAnswer)
+GatewayCore::TakeTurn(const routing::PermitResponse& aAnswer)
 {
-  if (const auto decided = mGate.Take(aAnswer)) {
+  if (const auto decided = mGate.OnPermitResponse(aAnswer)) {
     Decide(*decided);
   }
 }
 
 void
-GatewayCore::Decide(const routing::GateDecided& aDecided)
+GatewayCore::Decide(const routing::GateDecision& aDecided)
 {
   const auto waiting = mAtGate.find(aDecided.mTag);
   if (waiting != mAtGate.end()) {
--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -17,8 +17,8 @@
 #include "peridotspool/observe/Counters.h"
 #include "peridotspool/observe/Logger.h"
 #include "peridotspool/rollout/RolloutGate.h"
+#include "peridotspool/routing/CrashDetector.h"
 #include "peridotspool/routing/CrashReporter.h"
-#include "peridotspool/routing/CrashWitness.h"
 #include "peridotspool/routing/QuarantineGate.h"
 
 #include <cstdint>
@@ -81,7 +81,7 @@
   std::optional<StopPlan> mStopPlan;
   /** Requests are refused: the process is about to end. */
   bool mRefusing = false;
-  routing::CrashWitness mWitness;
+  routing::CrashDetector mWitness;
   routing::CrashReporter mCrashes;
   routing::QuarantineGate mGate;
   /** Exchanges that wait at the gate, by its tag. */
@@ -109,19 +109,19 @@
   }
 
   /** Nobody listens any more where a life of an upstream did. */
-  void NoteRefused(const routing::UpstreamLife& aLife);
-  void NoteEnded(const routing::EndedLife& aEnded);
+  void NoteRefused(const routing::UpstreamIncarnation& aLife);
+  void NoteEnded(const routing::UpstreamCrash& aEnded);
   /** A request of a content that isn't run any more was refused. */
   void NoteCameAgain(const ContentId& aContent);
   /** Tells the leader which ends it hasn't heard of. */
   void TellCrashes();
   /** About every 50 ms. */
   void TickGate();
-  void TakeTold(const routing::QuarantineTold& aTold);
+  void TakeTold(const routing::QuarantineUpdate& aTold);
   void Take(const rollout::RolloutUpdate& aUpdate);
-  void TakeTurn(const routing::TurnAnswer& aAnswer);
-  void Decide(const routing::GateDecided& aDecided);
-  void CarryOut(const routing::GateTick& aTick);
+  void TakeTurn(const routing::PermitResponse& aAnswer);
+  void Decide(const routing::GateDecision& aDecided);
+  void CarryOut(const routing::GateActions& aTick);
 
   /** Something that a starting process lacked has come. */
   void WakeStarting()
--- a/src/gateway/LifeProbe.cpp
+++ b/src/gateway/LifeProbe.cpp
@@ -29,7 +29,7 @@
 
 void
 ProbeLife(GatewayCore& aCore,
-          const routing::UpstreamLife& aLife,
+          const routing::UpstreamIncarnation& aLife,
           const Address& aAddress)
 {
   http::ErrorCode error;
--- a/src/gateway/LifeProbe.h
+++ b/src/gateway/LifeProbe.h
@@ -2,7 +2,7 @@
 
 #include "gateway/GatewayCore.h"
 #include "peridotspool/base/Address.h"
-#include "peridotspool/routing/CrashWitness.h"
+#include "peridotspool/routing/CrashDetector.h"
 
 namespace peridotspool::gateway {
 
@@ -12,7 +12,7 @@
  */
 void
 ProbeLife(GatewayCore& aCore,
-          const routing::UpstreamLife& aLife,
+          const routing::UpstreamIncarnation& aLife,
           const Address& aAddress);
 
 } // namespace peridotspool::gateway
--- a/src/gateway/QuotaBank.cpp
+++ b/src/gateway/QuotaBank.cpp
@@ -394,7 +394,7 @@
 }
 
 std::vector<QuotaFigures>
-QuotaBank::TakeFigures()
+QuotaBank::UpdateStats()
 {
   std::vector<QuotaFigures> figures;
   for (auto& [name, account] : mAccounts) {
--- a/src/request/AdmissionSteps.cpp
+++ b/src/request/AdmissionSteps.cpp
@@ -155,7 +155,7 @@
   mNextDemand =
     mNow + std::max<Duration>(kDemandPeriod, members * kDemandPeriodPerMember);
   for (const auto& [service, demand] : mDesk.Demand(mNow)) {
-    mDesk.TakeDemand(mSelf, service, demand, mNow);
+    mDesk.SetPublishedDemand(mSelf, service, demand, mNow);
     for (const auto& [member, state] : mMembers) {
       if (member != mSelf && !demand.empty()) {
         mEffects->emplace_back(
@@ -168,7 +168,7 @@
 void
 RequestManagerState::OnRelay(MemberId aFrom, const DemandMessage& aMessage)
 {
-  mDesk.TakeDemand(aFrom, aMessage.mService, aMessage.mDemand, mNow);
+  mDesk.SetPublishedDemand(aFrom, aMessage.mService, aMessage.mDemand, mNow);
 }
 
 } // namespace peridotspool::request
--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -1,6 +1,6 @@
 #include "request/EntryNodeState.h"
 
-#include "peridotspool/routing/SpreadTargets.h"
+#include "peridotspool/routing/AnnouncementTargets.h"
 
 #include <algorithm>
 #include <utility>
@@ -333,7 +333,7 @@
   }
   // A report to every entry would grow with entries times upstreams.
   for (const MemberId target :
-       routing::SpreadTargets(aAnnouncement.mName, members)) {
+       routing::AnnouncementTargets(aAnnouncement.mName, members)) {
     if (target != mSelf) {
       SendToMember(target, aAnnouncement);
     }
--- a/src/request/Execution.cpp
+++ b/src/request/Execution.cpp
@@ -216,7 +216,7 @@
                         const routing::RouteChoice& aChoice)
 {
   if (mAttempts == 0) {
-    aContext.mDesk.CountFirstTry(mRecord.mTerms.mService);
+    aContext.mDesk.CountFirstAttempt(mRecord.mTerms.mService);
   }
   ++mAttempts;
   mAttempt = Attempt{ .mNumber = AttemptOf(mRecord.mExecutorTurn, mAttempts),
--- a/src/request/ExecutionEnd.cpp
+++ b/src/request/ExecutionEnd.cpp
@@ -48,9 +48,9 @@
   const auto decision = aContext.mDesk.DecideRetry(
     mRecord.mKey.mCustomer,
     mRecord.mTerms.mService,
-    routing::FailedTry{ .mTries = mAttempts,
-                        .mDeadline = mDeadline,
-                        .mRandom = aContext.mRandom() },
+    routing::FailedAttempt{ .mAttempts = mAttempts,
+                            .mDeadline = mDeadline,
+                            .mRandom = aContext.mRandom() },
     aContext.mNow);
   if (const auto* never = std::get_if<routing::NoRetry>(&decision)) {
     GiveUpRetrying(aContext, *never);
--- a/src/request/ServiceDesk.cpp
+++ b/src/request/ServiceDesk.cpp
@@ -121,11 +121,11 @@
     return routing::Admitted{};
   }
   const auto whole =
-    At(TotalName()).mAdmission.Ask(aQuery, TotalOf(*rules), aNow);
+    At(TotalName()).mAdmission.Admit(aQuery, TotalOf(*rules), aNow);
   if (std::holds_alternative<routing::Refused>(whole)) {
     return whole;
   }
-  const auto outcome = At(aService).mAdmission.Ask(aQuery, *rules, aNow);
+  const auto outcome = At(aService).mAdmission.Admit(aQuery, *rules, aNow);
   if (std::holds_alternative<routing::Refused>(outcome)) {
     At(TotalName()).mAdmission.Ended(aQuery.mKey.mCustomer, Duration(0));
   }
@@ -158,7 +158,7 @@
 {
   std::vector<routing::QueuedRequest> requests;
   for (auto& [name, service] : mServices) {
-    for (auto& request : service.mAdmission.Late(aNow)) {
+    for (auto& request : service.mAdmission.TakeExpired(aNow)) {
       requests.push_back(std::move(request));
     }
   }
@@ -166,15 +166,15 @@
 }
 
 void
-ServiceDesk::CountFirstTry(const ServiceName& aService)
+ServiceDesk::CountFirstAttempt(const ServiceName& aService)
 {
-  At(aService).mBudget.CountFirstTry();
+  At(aService).mBudget.CountFirstAttempt();
 }
 
 routing::RetryDecision
 ServiceDesk::DecideRetry(const CustomerName& aCustomer,
                          const ServiceName& aService,
-                         const routing::FailedTry& aTry,
+                         const routing::FailedAttempt& aTry,
                          TimePoint aNow)
 {
   settings::RetryRules rules{ .mBudget = 1,
@@ -200,17 +200,17 @@
 }
 
 void
-ServiceDesk::TakeDemand(MemberId aFrom,
-                        const ServiceName& aService,
-                        const std::map<CustomerName, double>& aDemand,
-                        TimePoint aNow)
+ServiceDesk::SetPublishedDemand(MemberId aFrom,
+                                const ServiceName& aService,
+                                const std::map<CustomerName, double>& aDemand,
+                                TimePoint aNow)
 {
   Service& service = At(aService);
   for (const auto& [customer, rate] : aDemand) {
     auto& published = service.mPublished[customer];
     published[aFrom] = rate;
     if (const auto rules = RulesOrTotal(customer, aService)) {
-      service.mAdmission.TakeDemand(customer, published, *rules, aNow);
+      service.mAdmission.SetPublishedDemand(customer, published, *rules, aNow);
     }
   }
 }
--- a/src/request/ServiceDesk.h
+++ b/src/request/ServiceDesk.h
@@ -52,18 +52,18 @@
   /** Takes queued requests that can't meet their deadline any more. */
   std::vector<routing::QueuedRequest> Late(TimePoint aNow);
 
-  void CountFirstTry(const ServiceName& aService);
+  void CountFirstAttempt(const ServiceName& aService);
   routing::RetryDecision DecideRetry(const CustomerName& aCustomer,
                                      const ServiceName& aService,
-                                     const routing::FailedTry& aTry,
+                                     const routing::FailedAttempt& aTry,
                                      TimePoint aNow);
 
   /** What callers asked for lately, for the other entries. */
   std::map<ServiceName, std::map<CustomerName, double>> Demand(TimePoint aNow);
-  void TakeDemand(MemberId aFrom,
-                  const ServiceName& aService,
-                  const std::map<CustomerName, double>& aDemand,
-                  TimePoint aNow);
+  void SetPublishedDemand(MemberId aFrom,
+                          const ServiceName& aService,
+                          const std::map<CustomerName, double>& aDemand,
+                          TimePoint aNow);
 
   /** What holds for a customer's use of a service; null without settings. */
   const settings::EffectiveService* Rules(const CustomerName& aCustomer,
--- a/src/rollout/VersionJudge.cpp
+++ b/src/rollout/VersionJudge.cpp
@@ -151,7 +151,7 @@
 }
 
 void
-TakeFigures(FigureCounts& aFrom, const FigureCounts& aTaken)
+UpdateStats(FigureCounts& aFrom, const FigureCounts& aTaken)
 {
   for (const auto& [place, count] : aTaken) {
     std::uint64_t& left = aFrom[place];
@@ -164,8 +164,8 @@
 {
   aFrom.mAnswers = Less(aFrom.mAnswers, aTaken.mAnswers);
   aFrom.mFailed = Less(aFrom.mFailed, aTaken.mFailed);
-  TakeFigures(aFrom.mPace, aTaken.mPace);
-  TakeFigures(aFrom.mFirst, aTaken.mFirst);
+  UpdateStats(aFrom.mPace, aTaken.mPace);
+  UpdateStats(aFrom.mFirst, aTaken.mFirst);
 }
 
 } // namespace
--- a/src/routing/Admission.cpp
+++ b/src/routing/Admission.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /** Weight of the newest request in the mean time. */
-constexpr double kLearnRate = 0.1;
+constexpr double kEwmaWeight = 0.1;
 /** When to come back after a limit on requests under way. */
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -18,7 +18,7 @@
   , mSelf(aSelf)
   , mMembers{ aSelf }
   , mQueue(aOptions.mQueue)
-  , mHoldMicros(static_cast<double>(aOptions.mFirstHold.count()))
+  , mHoldMicros(static_cast<double>(aOptions.mInitialHoldTime.count()))
 {
 }
 
@@ -27,14 +27,15 @@
  * left out it would be let in by itself and not be counted by the others.
  */
 settings::Limits
-Admission::PartOf(const CustomerLimit& aLimit) const
+Admission::ShareOf(const CustomerLimit& aLimit) const
 {
-  PublishedDemand ofMembers;
+  PublishedDemand demandOfMembers;
   for (const MemberId member : mMembers) {
     const auto found = aLimit.mPublished.find(member);
-    ofMembers[member] = found == aLimit.mPublished.end() ? 0 : found->second;
+    demandOfMembers[member] =
+      found == aLimit.mPublished.end() ? 0 : found->second;
   }
-  return LimitShare(aLimit.mWhole, ofMembers, mSelf);
+  return LimitShare(aLimit.mTotal, demandOfMembers, mSelf);
 }
 
 SharedLimit&
@@ -43,22 +44,22 @@
   mQueue.SetWeight(aSettings.mCustomer, aSettings.mWeight);
   const auto found = mLimits.find(aSettings.mCustomer);
   if (found == mLimits.end()) {
-    CustomerLimit fresh{ .mWhole = aSettings.mLimits,
+    CustomerLimit fresh{ .mTotal = aSettings.mLimits,
                          .mPublished = {},
                          .mMembersVersion = mMembersVersion,
-                         .mPart = SharedLimit({}) };
-    fresh.mPart = SharedLimit(PartOf(fresh));
+                         .mShare = SharedLimit({}) };
+    fresh.mShare = SharedLimit(ShareOf(fresh));
     return mLimits.emplace(aSettings.mCustomer, std::move(fresh))
-      .first->second.mPart;
+      .first->second.mShare;
   }
   CustomerLimit& limit = found->second;
-  if (limit.mWhole != aSettings.mLimits ||
+  if (limit.mTotal != aSettings.mLimits ||
       limit.mMembersVersion != mMembersVersion) {
-    limit.mWhole = aSettings.mLimits;
+    limit.mTotal = aSettings.mLimits;
     limit.mMembersVersion = mMembersVersion;
-    limit.mPart.SetShare(PartOf(limit), aNow);
+    limit.mShare.SetShare(ShareOf(limit), aNow);
   }
-  return limit.mPart;
+  return limit.mShare;
 }
 
 void
@@ -71,9 +72,9 @@
 }
 
 AdmissionOutcome
-Admission::Ask(const AdmissionQuery& aQuery,
-               const settings::EffectiveService& aSettings,
-               TimePoint aNow)
+Admission::Admit(const AdmissionQuery& aQuery,
+                 const settings::EffectiveService& aSettings,
+                 TimePoint aNow)
 {
   SharedLimit& limit = LimitOf(aSettings, aNow);
   const bool runsAtOnce = mRunning < mOptions.mMaxRunning && mQueue.Size() == 0;
@@ -83,14 +84,14 @@
   // Told now, the caller can turn elsewhere; told at its deadline it can't.
   if (aNow + wait >= aQuery.mDeadline) {
     return Refused{ .mReason = AdmissionReason::kDeadlineTooNear,
-                    .mRetryAfter = std::max(wait, kLeastRetryAfter) };
+                    .mRetryAfter = std::max(wait, kMinRetryAfter) };
   }
-  if (const auto reached = limit.Take(aNow)) {
+  if (const auto reached = limit.TryAcquire(aNow)) {
     const bool rate = *reached == LimitReached::kRate;
     return Refused{ .mReason = rate ? AdmissionReason::kRateLimit
                                     : AdmissionReason::kConcurrencyLimit,
                     .mRetryAfter = std::max(rate ? limit.UntilNext(aNow) : hold,
-                                            kLeastRetryAfter) };
+                                            kMinRetryAfter) };
   }
   if (runsAtOnce) {
     ++mRunning;
@@ -113,7 +114,7 @@
                                     .mDeadline = aQuery.mDeadline });
   if (!pushed) {
     return Refused{ .mReason = AdmissionReason::kQueueFull,
-                    .mRetryAfter = std::max(wait, kLeastRetryAfter) };
+                    .mRetryAfter = std::max(wait, kMinRetryAfter) };
   }
   return Queued{ .mExpectedWait = wait };
 }
@@ -140,11 +141,11 @@
 {
   const auto found = mLimits.find(aCustomer);
   if (found != mLimits.end()) {
-    found->second.mPart.Release();
+    found->second.mShare.Release();
   }
   mRunning -= mRunning > 0 ? 1 : 0;
   mHoldMicros +=
-    kLearnRate * (static_cast<double>(aTook.count()) - mHoldMicros);
+    kEwmaWeight * (static_cast<double>(aTook.count()) - mHoldMicros);
 }
 
 std::optional<QueuedRequest>
@@ -159,13 +160,13 @@
 }
 
 std::vector<QueuedRequest>
-Admission::Late(TimePoint aNow)
+Admission::TakeExpired(TimePoint aNow)
 {
-  std::vector<QueuedRequest> late = mQueue.TakeLate(aNow);
+  std::vector<QueuedRequest> late = mQueue.TakeExpired(aNow);
   for (const QueuedRequest& request : late) {
     const auto found = mLimits.find(request.mKey.mCustomer);
     if (found != mLimits.end()) {
-      found->second.mPart.Release();
+      found->second.mShare.Release();
     }
   }
   return late;
@@ -182,26 +183,26 @@
 {
   std::map<CustomerName, double> demand;
   for (auto& [customer, limit] : mLimits) {
-    demand.emplace(customer, limit.mPart.Demand(aNow));
+    demand.emplace(customer, limit.mShare.Demand(aNow));
   }
   return demand;
 }
 
 void
-Admission::TakeDemand(const CustomerName& aCustomer,
-                      const PublishedDemand& aPublished,
-                      const settings::EffectiveService& aSettings,
-                      TimePoint aNow)
+Admission::SetPublishedDemand(const CustomerName& aCustomer,
+                              const PublishedDemand& aPublished,
+                              const settings::EffectiveService& aSettings,
+                              TimePoint aNow)
 {
   const auto found = mLimits.find(aCustomer);
   if (found == mLimits.end()) {
     return;
   }
   CustomerLimit& limit = found->second;
-  limit.mWhole = aSettings.mLimits;
+  limit.mTotal = aSettings.mLimits;
   limit.mPublished = aPublished;
   limit.mMembersVersion = mMembersVersion;
-  limit.mPart.SetShare(PartOf(limit), aNow);
+  limit.mShare.SetShare(ShareOf(limit), aNow);
 }
 
 } // namespace peridotspool::routing
--- a/src/routing/SpreadTargets.cpp
+++ b/src/routing/AnnouncementTargets.cpp
@@ -1,4 +1,4 @@
-#include "peridotspool/routing/SpreadTargets.h"
+#include "peridotspool/routing/AnnouncementTargets.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,8 +7,8 @@
 namespace peridotspool::routing {
 
 std::vector<MemberId>
-SpreadTargets(const UpstreamName& aUpstream,
-              const std::vector<MemberId>& aMembers)
+AnnouncementTargets(const UpstreamName& aUpstream,
+                    const std::vector<MemberId>& aMembers)
 {
   const std::string& name = aUpstream.Value();
   std::vector<std::pair<std::uint64_t, MemberId>> weights;
@@ -17,7 +17,7 @@
     weights.emplace_back(
       XXH3_64bits_withSeed(name.data(), name.size(), member.Value()), member);
   }
-  const std::size_t count = std::min(kSpreadTargets, weights.size());
+  const std::size_t count = std::min(kMaxAnnouncementTargets, weights.size());
   const auto end = weights.begin() + static_cast<std::ptrdiff_t>(count);
   std::partial_sort(weights.begin(), end, weights.end(), std::greater<>());
   std::vector<MemberId> targets;
--- /dev/null
+++ b/src/routing/CrashDetector.cpp
@@ -0,0 +1,113 @@
+#include "peridotspool/routing/CrashDetector.h"
+
+#include <utility>
+
+namespace peridotspool::routing {
+
+namespace {
+
+/** An upstream that is started again announces itself well within it. */
+constexpr Duration kPendingTimeout = std::chrono::seconds(15);
+/** Answers of an crashes incarnation are lost on all connections at about once.
+ */
+constexpr Duration kCrashRetention = std::chrono::seconds(60);
+/** Bounds of what is held while an end is in pending. */
+constexpr std::size_t kMaxPending = 256;
+constexpr std::size_t kMaxLostPerIncarnation = 256;
+constexpr std::size_t kMaxCrashed = 4096;
+
+} // namespace
+
+std::optional<UpstreamCrash>
+CrashDetector::Lost(const UpstreamIncarnation& aIncarnation,
+                    const Address& aAddress,
+                    const LostResponse& aLost)
+{
+  if (mCrashed.contains(aIncarnation)) {
+    return UpstreamCrash{ .mUpstream = aIncarnation, .mLost = { aLost } };
+  }
+  if (!mPending.contains(aIncarnation) && mPending.size() >= kMaxPending) {
+    return std::nullopt;
+  }
+  PendingProbe& pending = mPending[aIncarnation];
+  pending.mAddress = aAddress;
+  if (pending.mLost.size() < kMaxLostPerIncarnation) {
+    pending.mLost.push_back(aLost);
+  }
+  return std::nullopt;
+}
+
+bool
+CrashDetector::ShouldProbe(const UpstreamIncarnation& aIncarnation)
+{
+  const auto pending = mPending.find(aIncarnation);
+  return pending != mPending.end() &&
+         !std::exchange(pending->second.mProbed, true);
+}
+
+std::optional<UpstreamCrash>
+CrashDetector::Refused(const UpstreamIncarnation& aIncarnation, TimePoint aNow)
+{
+  return RecordCrash(aIncarnation, CrashEvidence::kConnectionRefused, aNow);
+}
+
+void
+CrashDetector::Accepted(const UpstreamIncarnation& aIncarnation)
+{
+  mPending.erase(aIncarnation);
+}
+
+std::vector<UpstreamCrash>
+CrashDetector::Announced(const UpstreamIncarnation& aIncarnation,
+                         const Address& aAddress,
+                         TimePoint aNow)
+{
+  std::vector<UpstreamIncarnation> replaced;
+  for (const auto& [incarnation, pending] : mPending) {
+    if (pending.mAddress == aAddress && incarnation != aIncarnation) {
+      replaced.push_back(incarnation);
+    }
+  }
+  std::vector<UpstreamCrash> crashes;
+  for (const UpstreamIncarnation& incarnation : replaced) {
+    if (auto crash =
+          RecordCrash(incarnation, CrashEvidence::kNewIncarnation, aNow)) {
+      crashes.push_back(std::move(*crash));
+    }
+  }
+  return crashes;
+}
+
+// Returns empty where no answer of this entry was lost by it.
+std::optional<UpstreamCrash>
+CrashDetector::RecordCrash(const UpstreamIncarnation& aIncarnation,
+                           CrashEvidence aCrashEvidence,
+                           TimePoint aNow)
+{
+  if (mCrashed.size() < kMaxCrashed) {
+    mCrashed.try_emplace(aIncarnation, aNow);
+  }
+  const auto pending = mPending.find(aIncarnation);
+  if (pending == mPending.end()) {
+    return std::nullopt;
+  }
+  UpstreamCrash crash{ .mUpstream = aIncarnation,
+                       .mCrashEvidence = aCrashEvidence,
+                       .mLost = std::move(pending->second.mLost) };
+  mPending.erase(pending);
+  return crash;
+}
+
+void
+CrashDetector::Forget(TimePoint aNow)
+{
+  std::erase_if(mPending, [&](const auto& aPair) {
+    const auto& lost = aPair.second.mLost;
+    return aNow - lost.front().mLostAt >= kPendingTimeout;
+  });
+  std::erase_if(mCrashed, [&](const auto& aPair) {
+    return aNow - aPair.second >= kCrashRetention;
+  });
+}
+
+} // namespace peridotspool::routing
--- a/src/routing/CrashReporter.cpp
+++ b/src/routing/CrashReporter.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr Duration kTellAgain = std::chrono::milliseconds(300);
+constexpr Duration kReportResendInterval = std::chrono::milliseconds(300);
 /** As long as the leader holds it for evidence. */
-constexpr Duration kKeptFor = std::chrono::minutes(10);
-constexpr std::size_t kMostKept = 1024;
-/** Lines of one report: some 60 bytes each. */
-constexpr std::size_t kMostLines = 64;
+constexpr Duration kMaxCrashAge = std::chrono::minutes(10);
+constexpr std::size_t kMaxBufferedCrashes = 1024;
+/** Lines of crash report: some 60 bytes each. */
+constexpr std::size_t kMaxCrashesPerReport = 64;
 
 std::uint32_t
 AgeMs(TimePoint aThen, TimePoint aNow)
@@ -25,22 +25,22 @@
 } // namespace
 
 void
-CrashReporter::Add(const EndedLife& aEnded)
+CrashReporter::Add(const UpstreamCrash& aCrash)
 {
-  for (const LostAnswer& lost : aEnded.mLost) {
-    if (mKept.size() >= kMostKept) {
-      mKept.pop_front();
+  for (const LostResponse& lost : aCrash.mLost) {
+    if (mBuffered.size() >= kMaxBufferedCrashes) {
+      mBuffered.pop_front();
     }
-    mKept.push_back({ .mLife = aEnded.mLife, .mLost = lost });
+    mBuffered.push_back({ .mUpstream = aCrash.mUpstream, .mLost = lost });
   }
 }
 
 void
-CrashReporter::MeetLeader()
+CrashReporter::OnNewLeader()
 {
-  for (Kept& one : mKept) {
-    one.mTaken = false;
-    one.mToldAt.reset();
+  for (BufferedCrash& crash : mBuffered) {
+    crash.mAcknowledged = false;
+    crash.mReportedAt.reset();
   }
 }
 
@@ -48,20 +48,21 @@
 CrashReporter::Report(TimePoint aNow)
 {
   CrashReport report;
-  for (Kept& one : mKept) {
-    const bool due =
-      !one.mTaken && (!one.mToldAt || aNow - *one.mToldAt >= kTellAgain);
-    if (!due || report.mLines.size() >= kMostLines) {
+  for (BufferedCrash& crash : mBuffered) {
+    const bool due = !crash.mAcknowledged &&
+                     (!crash.mReportedAt ||
+                      aNow - *crash.mReportedAt >= kReportResendInterval);
+    if (!due || report.mLines.size() >= kMaxCrashesPerReport) {
       continue;
     }
-    one.mToldAt = aNow;
-    one.mReport = mLastReport + 1;
-    report.mLines.push_back({ .mContent = one.mLost.mContent,
-                              .mUpstream = one.mLife.mName,
-                              .mIncarnation = one.mLife.mIncarnation,
-                              .mSentAgoMs = AgeMs(one.mLost.mSentAt, aNow),
-                              .mLostAgoMs = AgeMs(one.mLost.mLostAt, aNow),
-                              .mHadTurn = one.mLost.mHadTurn });
+    crash.mReportedAt = aNow;
+    crash.mReportNumber = mLastReport + 1;
+    report.mLines.push_back({ .mContent = crash.mLost.mContent,
+                              .mUpstream = crash.mUpstream.mName,
+                              .mIncarnation = crash.mUpstream.mIncarnation,
+                              .mSentAgoMs = AgeMs(crash.mLost.mSentAt, aNow),
+                              .mLostAgoMs = AgeMs(crash.mLost.mLostAt, aNow),
+                              .mHadPermit = crash.mLost.mHadPermit });
   }
   if (report.mLines.empty()) {
     return std::nullopt;
@@ -71,18 +72,20 @@
 }
 
 void
-CrashReporter::Take(const CrashTaken& aTaken)
+CrashReporter::OnAck(const CrashReportAck& aAck)
 {
-  for (Kept& one : mKept) {
-    one.mTaken = one.mTaken || one.mReport == aTaken.mNumber;
+  for (BufferedCrash& crash : mBuffered) {
+    crash.mAcknowledged =
+      crash.mAcknowledged || crash.mReportNumber == aAck.mNumber;
   }
 }
 
 void
 CrashReporter::Forget(TimePoint aNow)
 {
-  while (!mKept.empty() && aNow - mKept.front().mLost.mLostAt >= kKeptFor) {
-    mKept.pop_front();
+  while (!mBuffered.empty() &&
+         aNow - mBuffered.front().mLost.mLostAt >= kMaxCrashAge) {
+    mBuffered.pop_front();
   }
 }
 
--- a/src/routing/Ejection.cpp
+++ b/src/routing/Ejection.cpp
@@ -12,14 +12,14 @@
 }
 
 bool
-Ejection::OnCompleted(Duration aTook,
+Ejection::OnCompleted(Duration aDuration,
                       Duration aServiceMean,
                       const EjectionOptions& aOptions)
 {
   mFailures = 0;
   const auto slow =
     std::chrono::duration_cast<Duration>(aServiceMean * aOptions.mSlowFactor);
-  mSlow = aServiceMean.count() > 0 && aTook > slow ? mSlow + 1 : 0;
+  mSlow = aServiceMean.count() > 0 && aDuration > slow ? mSlow + 1 : 0;
   return mSlow >= aOptions.mSlowSamples;
 }
 
@@ -27,16 +27,16 @@
 Ejection::Eject(const EjectionOptions& aOptions, TimePoint aNow)
 {
   const bool soon =
-    mLastTime.count() > 0 && aNow - mLastEjected < aOptions.mForgive;
+    mLastTime.count() > 0 && aNow - mLastEjected < aOptions.mResetAfter;
   mLastTime =
-    soon ? std::min(mLastTime * 2, aOptions.mLongest) : aOptions.mFirst;
+    soon ? std::min(mLastTime * 2, aOptions.mMaxTime) : aOptions.mInitialTime;
   mLastEjected = aNow;
   mUntil = aNow + mLastTime;
   mEjected = true;
 }
 
 void
-Ejection::Return(const EjectionOptions& aOptions)
+Ejection::Readmit(const EjectionOptions& aOptions)
 {
   mEjected = false;
   mSlow = 0;
--- a/src/routing/Ejection.h
+++ b/src/routing/Ejection.h
@@ -13,14 +13,14 @@
 public:
   /** Counts an end; returns true iff the upstream should be ejected for it. */
   bool OnFailure(const EjectionOptions& aOptions);
-  bool OnCompleted(Duration aTook,
+  bool OnCompleted(Duration aDuration,
                    Duration aServiceMean,
                    const EjectionOptions& aOptions);
 
   /** Ejects; the time doubles with each ejection that follows soon. */
   void Eject(const EjectionOptions& aOptions, TimePoint aNow);
   /** Lets it back in; one more failure ejects again. */
-  void Return(const EjectionOptions& aOptions);
+  void Readmit(const EjectionOptions& aOptions);
 
   bool IsEjected() const { return mEjected; }
   TimePoint Until() const { return mUntil; }
--- a/src/routing/FairQueue.cpp
+++ b/src/routing/FairQueue.cpp
@@ -13,13 +13,13 @@
 void
 FairQueue::SetWeight(const CustomerName& aCustomer, double aWeight)
 {
-  Customer& customer = Known(aCustomer);
+  Customer& customer = FindOrAdd(aCustomer);
   mWeightSum += aWeight - customer.mWeight;
   customer.mWeight = aWeight;
 }
 
 FairQueue::Customer&
-FairQueue::Known(const CustomerName& aCustomer)
+FairQueue::FindOrAdd(const CustomerName& aCustomer)
 {
   const auto [found, added] = mCustomers.try_emplace(aCustomer);
   if (added) {
@@ -45,7 +45,7 @@
 bool
 FairQueue::Push(QueuedRequest aRequest)
 {
-  Customer& customer = Known(aRequest.mKey.mCustomer);
+  Customer& customer = FindOrAdd(aRequest.mKey.mCustomer);
   const double part =
     static_cast<double>(mOptions.mMaxQueued) * customer.mWeight / mWeightSum;
   const auto room =
@@ -70,15 +70,15 @@
 }
 
 bool
-FairQueue::GoesBefore(const Customer& aLeft, const Customer& aRight) const
+FairQueue::IsServedBefore(const Customer& aLeft, const Customer& aRight) const
 {
   const double left = StartTag(aLeft);
   const double right = StartTag(aRight);
-  // Without the bound on being ahead, a large customer that marks everything
+  // Without the bound on being burst, a large customer that marks everything
   // urgent would leave nothing to the small ones.
-  const double ahead = mOptions.mUrgentBurst;
-  const bool bothWithin = left <= mVirtualTime + ahead / aLeft.mWeight &&
-                          right <= mVirtualTime + ahead / aRight.mWeight;
+  const double burst = mOptions.mUrgentBurst;
+  const bool bothWithin = left <= mVirtualTime + burst / aLeft.mWeight &&
+                          right <= mVirtualTime + burst / aRight.mWeight;
   const std::int32_t leftPriority = aLeft.mWaiting.begin()->first;
   const std::int32_t rightPriority = aRight.mWaiting.begin()->first;
   if (bothWithin && leftPriority != rightPriority) {
@@ -105,23 +105,23 @@
 FairQueue::Pop()
 {
   Customer* best = nullptr;
-  double least = 0;
+  double minStart = 0;
   for (auto& [name, customer] : mCustomers) {
     if (customer.mSize == 0) {
       continue;
     }
-    least = best == nullptr ? StartTag(customer)
-                            : std::min(least, StartTag(customer));
-    if (best == nullptr || GoesBefore(customer, *best)) {
+    minStart = best == nullptr ? StartTag(customer)
+                               : std::min(minStart, StartTag(customer));
+    if (best == nullptr || IsServedBefore(customer, *best)) {
       best = &customer;
     }
   }
   if (best == nullptr) {
     return std::nullopt;
   }
-  // The least start tag of those that wait: an urgent request that was served
-  // ahead of its turn does not move the others' present.
-  mVirtualTime = std::max(mVirtualTime, least);
+  // The minStart start tag of those that wait: an urgent request that was
+  // served burst of its turn does not move the others' present.
+  mVirtualTime = std::max(mVirtualTime, minStart);
   const double start = StartTag(*best);
   QueuedRequest request = TakeFirst(*best);
   best->mFinish = start + request.mCost / best->mWeight;
@@ -129,14 +129,14 @@
 }
 
 std::size_t
-FairQueue::TakeLate(Customer& aCustomer,
-                    TimePoint aTime,
-                    std::vector<QueuedRequest>& aLate)
+FairQueue::TakeExpired(Customer& aCustomer,
+                       TimePoint aTime,
+                       std::vector<QueuedRequest>& aLate)
 {
-  std::size_t taken = 0;
+  std::size_t removed = 0;
   for (auto level = aCustomer.mWaiting.begin();
        level != aCustomer.mWaiting.end();) {
-    taken += std::erase_if(level->second, [&](const QueuedRequest& aRequest) {
+    removed += std::erase_if(level->second, [&](const QueuedRequest& aRequest) {
       const bool isLate = aRequest.mDeadline < aTime;
       if (isLate) {
         aLate.push_back(aRequest);
@@ -146,15 +146,15 @@
     level = level->second.empty() ? aCustomer.mWaiting.erase(level)
                                   : std::next(level);
   }
-  return taken;
+  return removed;
 }
 
 std::vector<QueuedRequest>
-FairQueue::TakeLate(TimePoint aTime)
+FairQueue::TakeExpired(TimePoint aTime)
 {
   std::vector<QueuedRequest> late;
   for (auto& [name, customer] : mCustomers) {
-    customer.mSize -= TakeLate(customer, aTime, late);
+    customer.mSize -= TakeExpired(customer, aTime, late);
   }
   mSize -= late.size();
   return late;
--- a/src/routing/LimitShare.cpp
+++ b/src/routing/LimitShare.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** Divided evenly at least, so that an entry can let a first request in. */
-constexpr double kLeastEvenPart = 0.1;
+constexpr double kMinEvenFraction = 0.1;
 
 /**
  * Returns each entry's part of 1, in the order of the published demand. What
@@ -25,7 +25,7 @@
   }
   const auto count = static_cast<double>(aPublished.size());
   const double unused = aRate > 0 ? 1 - sum / aRate : 0;
-  const double even = sum > 0 ? std::max(kLeastEvenPart, unused) : 1;
+  const double even = sum > 0 ? std::max(kMinEvenFraction, unused) : 1;
   std::vector<double> fractions;
   for (const auto& [member, demand] : aPublished) {
     const double byDemand = sum > 0 ? std::max(0.0, demand) / sum : 0;
@@ -36,27 +36,27 @@
 
 /**
  * Returns the whole part of an entry: all get the floor of their part, and
- * what is left over goes to those that lost most by it. Rounding each up on its
- * own would let many entries exceed a small limit together.
+ * what is left over goes to those that remainder most by it. Rounding each up
+ * on its own would let many entries exceed a small limit together.
  */
 std::uint64_t
-WholePart(std::uint64_t aTotal,
-          const std::vector<double>& aFractions,
-          std::size_t aSelf)
+IntegerShare(std::uint64_t aTotal,
+             const std::vector<double>& aFractions,
+             std::size_t aSelf)
 {
   const auto total = static_cast<double>(aTotal);
-  const auto lost = [&](std::size_t aAt) {
+  const auto remainder = [&](std::size_t aAt) {
     return total * aFractions[aAt] - std::floor(total * aFractions[aAt]);
   };
-  std::uint64_t given = 0;
+  std::uint64_t assigned = 0;
   std::size_t ahead = 0;
   for (std::size_t at = 0; at < aFractions.size(); ++at) {
-    given += static_cast<std::uint64_t>(std::floor(total * aFractions[at]));
-    const bool before =
-      lost(at) > lost(aSelf) || (lost(at) == lost(aSelf) && at < aSelf);
+    assigned += static_cast<std::uint64_t>(std::floor(total * aFractions[at]));
+    const bool before = remainder(at) > remainder(aSelf) ||
+                        (remainder(at) == remainder(aSelf) && at < aSelf);
     ahead += before ? 1 : 0;
   }
-  const std::uint64_t left = aTotal - std::min(aTotal, given);
+  const std::uint64_t left = aTotal - std::min(aTotal, assigned);
   const auto own =
     static_cast<std::uint64_t>(std::floor(total * aFractions[aSelf]));
   return own + (ahead < left ? 1 : 0);
@@ -78,7 +78,8 @@
   const std::vector<double> fractions =
     Fractions(aLimits.mRatePerSecond, aPublished);
   return { .mRatePerSecond = aLimits.mRatePerSecond * fractions[index],
-           .mConcurrency = WholePart(aLimits.mConcurrency, fractions, index) };
+           .mConcurrency =
+             IntegerShare(aLimits.mConcurrency, fractions, index) };
 }
 
 } // namespace peridotspool::routing
--- a/src/routing/LoadEstimate.cpp
+++ b/src/routing/LoadEstimate.cpp
@@ -15,8 +15,8 @@
 LoadEstimate::Report(std::uint32_t aLoad, TimePoint aReportTime)
 {
   mReported = aLoad;
-  // The time is reckoned from the arrival and may err by the way it took; the
-  // steps up to the last report's time are gone, so it never goes back.
+  // The time is reckoned from the arrival and may err by the way it duration;
+  // the steps up to the last report's time are gone, so it never goes back.
   mReportTime = std::max(mReportTime, aReportTime);
   while (!mSteps.empty() && mSteps.front().mAt <= mReportTime) {
     mChanged -= mSteps.front().mChange;
@@ -28,19 +28,19 @@
 LoadEstimate::Sent(TimePoint aNow)
 {
   Add(aNow, 1);
-  mOwnSince.push_back(aNow);
+  mOwnSendTimes.push_back(aNow);
 }
 
 Duration
 LoadEstimate::Ended(TimePoint aNow)
 {
-  if (mOwnSince.empty()) {
+  if (mOwnSendTimes.empty()) {
     return Duration(0);
   }
   Add(aNow, -1);
-  const Duration took = aNow - mOwnSince.front();
-  mOwnSince.pop_front();
-  return took;
+  const Duration duration = aNow - mOwnSendTimes.front();
+  mOwnSendTimes.pop_front();
+  return duration;
 }
 
 void
--- a/src/routing/LoadEstimate.h
+++ b/src/routing/LoadEstimate.h
@@ -17,7 +17,7 @@
   /** Takes a report of the load as it was at aReportTime. */
   void Report(std::uint32_t aLoad, TimePoint aReportTime);
   void Sent(TimePoint aNow);
-  /** Returns how long the request took (first sent, first counted). */
+  /** Returns how long the request duration (first sent, first counted). */
   Duration Ended(TimePoint aNow);
   /** Forgets everything: the upstream has a new life. */
   void Reset();
@@ -29,7 +29,7 @@
   double Load(double aOwnWeight) const;
   std::uint32_t Own() const
   {
-    return static_cast<std::uint32_t>(mOwnSince.size());
+    return static_cast<std::uint32_t>(mOwnSendTimes.size());
   }
 
 private:
@@ -46,7 +46,7 @@
   TimePoint mReportTime = TimePoint::min();
   std::deque<Step> mSteps;
   /** When our requests that run there were sent, oldest first. */
-  std::deque<TimePoint> mOwnSince;
+  std::deque<TimePoint> mOwnSendTimes;
 };
 
 } // namespace peridotspool::routing
--- a/src/routing/PrefixIndex.cpp
+++ b/src/routing/PrefixIndex.cpp
@@ -26,17 +26,18 @@
   return ((mixed >> 20) & (mCells.size() / kWays - 1)) * kWays;
 }
 
-PrefixIndex::Track
-PrefixIndex::TrackOf(UpstreamIndex aUpstream) const
+PrefixIndex::Generation
+PrefixIndex::GenerationOf(UpstreamIndex aUpstream) const
 {
-  return aUpstream < mTracks.size() ? mTracks[aUpstream] : Track{};
+  return aUpstream < mGenerations.size() ? mGenerations[aUpstream]
+                                         : Generation{};
 }
 
 bool
-PrefixIndex::IsHeld(const Cell& aCell) const
+PrefixIndex::IsCurrent(const Cell& aCell) const
 {
-  return aCell.mStamp != 0 &&
-         aCell.mTrack.mLife == TrackOf(aCell.mUpstream).mLife;
+  return aCell.mStamp != 0 && aCell.mGeneration.mIncarnation ==
+                                GenerationOf(aCell.mUpstream).mIncarnation;
 }
 
 void
@@ -47,23 +48,23 @@
   for (std::size_t way = 0; way < kWays; ++way) {
     Cell& cell = mCells[bucket + way];
     const bool same =
-      cell.mBlock == aBlock && cell.mUpstream == aUpstream && IsHeld(cell);
+      cell.mBlock == aBlock && cell.mUpstream == aUpstream && IsCurrent(cell);
     if (same) {
       // A guess must not take back what the engine itself said.
-      aKnown = aKnown ||
-               (cell.mKnown && cell.mTrack.mGaps == TrackOf(aUpstream).mGaps);
+      aKnown = aKnown || (cell.mKnown && cell.mGeneration.mGaps ==
+                                           GenerationOf(aUpstream).mGaps);
       target = &cell;
       break;
     }
-    const std::uint32_t age = IsHeld(cell) ? cell.mStamp : 0;
-    const std::uint32_t targetAge = IsHeld(*target) ? target->mStamp : 0;
+    const std::uint32_t age = IsCurrent(cell) ? cell.mStamp : 0;
+    const std::uint32_t targetAge = IsCurrent(*target) ? target->mStamp : 0;
     if (age < targetAge) {
       target = &cell;
     }
   }
   *target = { .mBlock = aBlock,
               .mUpstream = aUpstream,
-              .mTrack = TrackOf(aUpstream),
+              .mGeneration = GenerationOf(aUpstream),
               .mStamp = ++mStamp,
               .mKnown = aKnown };
 }
@@ -81,21 +82,21 @@
 }
 
 void
-PrefixIndex::LoseTrack(UpstreamIndex aUpstream)
+PrefixIndex::MarkUncertain(UpstreamIndex aUpstream)
 {
-  if (mTracks.size() <= aUpstream) {
-    mTracks.resize(aUpstream + 1);
+  if (mGenerations.size() <= aUpstream) {
+    mGenerations.resize(aUpstream + 1);
   }
-  ++mTracks[aUpstream].mGaps;
+  ++mGenerations[aUpstream].mGaps;
 }
 
 void
 PrefixIndex::Clear(UpstreamIndex aUpstream)
 {
-  if (mTracks.size() <= aUpstream) {
-    mTracks.resize(aUpstream + 1);
+  if (mGenerations.size() <= aUpstream) {
+    mGenerations.resize(aUpstream + 1);
   }
-  ++mTracks[aUpstream].mLife;
+  ++mGenerations[aUpstream].mIncarnation;
 }
 
 void
@@ -106,11 +107,12 @@
   const std::size_t bucket = BucketOf(aBlock);
   for (std::size_t way = 0; way < kWays; ++way) {
     const Cell& cell = mCells[bucket + way];
-    if (cell.mBlock != aBlock || !IsHeld(cell) ||
+    if (cell.mBlock != aBlock || !IsCurrent(cell) ||
         aMatch.mCount == kMaxHolders) {
       continue;
     }
-    const bool fresh = cell.mTrack.mGaps == TrackOf(cell.mUpstream).mGaps;
+    const bool fresh =
+      cell.mGeneration.mGaps == GenerationOf(cell.mUpstream).mGaps;
     aMatch.mHolders[aMatch.mCount++] = { .mUpstream = cell.mUpstream,
                                          .mBlocks = aLength,
                                          .mKnown = cell.mKnown && fresh };
@@ -131,11 +133,11 @@
 std::size_t
 PrefixIndex::IndexedBelow(std::size_t aLength)
 {
-  constexpr std::size_t kEach = 16;
-  constexpr std::size_t kEachFourth = 64;
-  const std::size_t step = aLength <= kEach         ? 1
-                           : aLength <= kEachFourth ? 4
-                                                    : 16;
+  constexpr std::size_t kDenseBlocks = 16;
+  constexpr std::size_t kMediumBlocks = 64;
+  const std::size_t step = aLength <= kDenseBlocks    ? 1
+                           : aLength <= kMediumBlocks ? 4
+                                                      : 16;
   return (aLength - 1) / step * step;
 }
 
--- a/src/routing/PrefixIndex.h
+++ b/src/routing/PrefixIndex.h
@@ -50,7 +50,7 @@
                  bool aKnown);
   void Remove(std::uint64_t aBlock, UpstreamIndex aUpstream);
   /** All that is known of an upstream becomes a guess: news was lost. */
-  void LoseTrack(UpstreamIndex aUpstream);
+  void MarkUncertain(UpstreamIndex aUpstream);
   /** Nothing is held any more: the upstream has a new life. */
   void Clear(UpstreamIndex aUpstream);
 
@@ -59,16 +59,16 @@
 
 private:
   /** A number of an upstream's life, and of its gaps within the life. */
-  struct Track
+  struct Generation
   {
-    std::uint16_t mLife = 0;
+    std::uint16_t mIncarnation = 0;
     std::uint16_t mGaps = 0;
   };
   struct Cell
   {
     std::uint64_t mBlock = 0;
     UpstreamIndex mUpstream = 0;
-    Track mTrack;
+    Generation mGeneration;
     /** When it was written, by count of writes; zero for an empty cell. */
     std::uint32_t mStamp = 0;
     bool mKnown = false;
@@ -77,14 +77,14 @@
   /** Returns the next shorter length that is kept; zero for none. */
   static std::size_t IndexedBelow(std::size_t aLength);
   std::size_t BucketOf(std::uint64_t aBlock) const;
-  Track TrackOf(UpstreamIndex aUpstream) const;
-  bool IsHeld(const Cell& aCell) const;
+  Generation GenerationOf(UpstreamIndex aUpstream) const;
+  bool IsCurrent(const Cell& aCell) const;
   void Collect(std::uint64_t aBlock,
                std::uint32_t aLength,
                PrefixMatch& aMatch) const;
 
   std::vector<Cell> mCells;
-  std::vector<Track> mTracks;
+  std::vector<Generation> mGenerations;
   std::uint32_t mStamp = 0;
 };
 
--- a/src/routing/Quarantine.cpp
+++ b/src/routing/Quarantine.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /** A row is some 200 bytes; cleared ones are the first to go. */
-constexpr std::size_t kMostRows = 512;
+constexpr std::size_t kMaxRows = 512;
 /** Lives named in a row, for operators. */
-constexpr std::size_t kMostCrashes = 8;
+constexpr std::size_t kMaxCrashes = 8;
 
 auto
 RowOf(const std::vector<QuarantineRow>& aRows, const ContentId& aContent)
@@ -42,35 +42,35 @@
     mRows.erase(before);
   }
   auto& crashes = next.mChange.mCrashes;
-  crashes.resize(std::min(crashes.size(), kMostCrashes));
+  crashes.resize(std::min(crashes.size(), kMaxCrashes));
   mRows.push_back(std::move(next));
-  if (mRows.size() > kMostRows) {
+  if (mRows.size() > kMaxRows) {
     const auto cleared =
       std::find_if(mRows.begin(), mRows.end(), [](const auto& aRow) {
         return aRow.mChange.mStage == QuarantineStage::kCleared;
       });
     mRows.erase(cleared == mRows.end() ? mRows.begin() : cleared);
-    mWholeBelow = mNumber;
+    mMinDeltaBase = mNumber;
   }
 }
 
-QuarantineTold
-QuarantineTable::Since(std::uint64_t aKnown) const
+QuarantineUpdate
+QuarantineTable::UpdateSince(std::uint64_t aKnownNumber) const
 {
-  const bool whole = aKnown < mWholeBelow || aKnown > mNumber;
-  QuarantineTold told{ .mFrom = whole ? 0 : aKnown,
-                       .mTo = mNumber,
-                       .mLines = {} };
+  const bool whole = aKnownNumber < mMinDeltaBase || aKnownNumber > mNumber;
+  QuarantineUpdate update{ .mFrom = whole ? 0 : aKnownNumber,
+                           .mTo = mNumber,
+                           .mLines = {} };
   for (const QuarantineRow& row : mRows) {
-    const bool listed = told.mFrom == 0
+    const bool listed = update.mFrom == 0
                           ? row.mChange.mStage != QuarantineStage::kCleared
-                          : row.mNumber > told.mFrom;
+                          : row.mNumber > update.mFrom;
     if (listed) {
-      told.mLines.push_back(
+      update.mLines.push_back(
         { .mContent = row.mChange.mContent, .mStage = row.mChange.mStage });
     }
   }
-  return told;
+  return update;
 }
 
 } // namespace peridotspool::routing
--- a/src/routing/QuarantineGate.cpp
+++ b/src/routing/QuarantineGate.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** A request waits this long for its turn; a run that is answered clears its
+/** A request waits this long for its permit; a run that is answered clears its
  * content for all that wait. */
-constexpr Duration kWaitMost = std::chrono::milliseconds(1000);
-constexpr Duration kAskAgain = std::chrono::milliseconds(100);
-/** By then it is known whether an upstream ended under the lost answer. */
-constexpr Duration kTurnBackAfter = std::chrono::milliseconds(1000);
+constexpr Duration kMaxPermitWait = std::chrono::milliseconds(1000);
+constexpr Duration kPermitRetryInterval = std::chrono::milliseconds(100);
+/** By then it is known whether an upstream ended under the lost result. */
+constexpr Duration kPermitReleaseDelay = std::chrono::milliseconds(1000);
 
 std::uint32_t
 ToMs(Duration aDuration)
@@ -35,27 +35,27 @@
 //
 // The leader hears of ends only. That a content was answered a thousand times
 // between two of them is known here, and clears it at once.
-GateTick
-QuarantineGate::Take(const QuarantineTold& aTold, TimePoint aNow)
+GateActions
+QuarantineGate::ApplyUpdate(const QuarantineUpdate& aUpdate, TimePoint aNow)
 {
-  GateTick tick;
-  if (aTold.mFrom == 0) {
+  GateActions actions;
+  if (aUpdate.mFrom == 0) {
     mListed.clear();
-  } else if (aTold.mFrom > mKnown || aTold.mTo <= mKnown) {
-    return tick;
+  } else if (aUpdate.mFrom > mKnownNumber || aUpdate.mTo <= mKnownNumber) {
+    return actions;
   }
-  mKnown = aTold.mTo;
-  for (const QuarantineLine& line : aTold.mLines) {
-    if (line.mStage == QuarantineStage::kCleared) {
-      mListed.erase(line.mContent);
+  mKnownNumber = aUpdate.mTo;
+  for (const QuarantineStatus& status : aUpdate.mLines) {
+    if (status.mStage == QuarantineStage::kCleared) {
+      mListed.erase(status.mContent);
       continue;
     }
-    mListed[line.mContent] = line.mStage;
-    if (const auto age = mAnswers.AgeOf(line.mContent, aNow)) {
-      tick.mEnded.push_back({ .mContent = line.mContent,
-                              .mTag = 0,
-                              .mAnswered = true,
-                              .mAgoMs = ToMs(*age) });
+    mListed[status.mContent] = status.mStage;
+    if (const auto age = mCompletions.AgeOf(status.mContent, aNow)) {
+      actions.mEnded.push_back({ .mContent = status.mContent,
+                                 .mTag = 0,
+                                 .mAnswered = true,
+                                 .mAgoMs = ToMs(*age) });
     }
   }
   std::erase_if(mWaiting, [&](const auto& aPair) {
@@ -63,19 +63,20 @@
     if (stage == QuarantineStage::kOneAtATime) {
       return false;
     }
-    tick.mDecided.push_back({ .mTag = aPair.first,
-                              .mOutcome = stage == QuarantineStage::kRefused
-                                            ? GateOutcome::kRefused
-                                            : GateOutcome::kGoes });
+    actions.mDecisions.push_back(
+      { .mTag = aPair.first,
+        .mOutcome = stage == QuarantineStage::kRefused
+                      ? GateOutcome::kRefused
+                      : GateOutcome::kAllowed });
     return true;
   });
-  return tick;
+  return actions;
 }
 
-GateAnswer
-QuarantineGate::Ask(const ContentId& aContent,
-                    Duration aTimeLeft,
-                    TimePoint aNow)
+GateResult
+QuarantineGate::Check(const ContentId& aContent,
+                      Duration aTimeLeft,
+                      TimePoint aNow)
 {
   switch (StageOf(aContent)) {
     case QuarantineStage::kCleared:
@@ -85,113 +86,116 @@
     case QuarantineStage::kOneAtATime:
       break;
   }
-  GateAnswer answer{ .mOutcome = GateOutcome::kWaits, .mTag = ++mLastTag };
-  answer.mAsk = { .mContent = aContent,
-                  .mTag = answer.mTag,
-                  .mForMs = ToMs(aTimeLeft) };
-  mWaiting[answer.mTag] = { .mContent = aContent,
+  GateResult result{ .mOutcome = GateOutcome::kWaitsForPermit,
+                     .mTag = ++mLastTag };
+  result.mPermitRequest = { .mContent = aContent,
+                            .mTag = result.mTag,
+                            .mForMs = ToMs(aTimeLeft) };
+  mWaiting[result.mTag] = { .mContent = aContent,
                             .mSince = aNow,
                             .mUntil = aNow + aTimeLeft,
-                            .mAskedAt = aNow };
-  return answer;
+                            .mRequestedAt = aNow };
+  return result;
 }
 
-// A refused turn is asked for again: that of another request ends.
-std::optional<GateDecided>
-QuarantineGate::Take(const TurnAnswer& aAnswer)
+// A refused permit is asked for again: that of another request ends.
+std::optional<GateDecision>
+QuarantineGate::OnPermitResponse(const PermitResponse& aResponse)
 {
-  const auto waiting = mWaiting.find(aAnswer.mTag);
-  if (!aAnswer.mGranted || waiting == mWaiting.end()) {
+  const auto waiting = mWaiting.find(aResponse.mTag);
+  if (!aResponse.mGranted || waiting == mWaiting.end()) {
     return std::nullopt;
   }
-  mTurns[aAnswer.mTag] = { .mContent = waiting->second.mContent,
-                           .mBackAt = std::nullopt };
+  mPermits[aResponse.mTag] = { .mContent = waiting->second.mContent,
+                               .mReleaseAt = std::nullopt };
   mWaiting.erase(waiting);
-  return GateDecided{ .mTag = aAnswer.mTag, .mOutcome = GateOutcome::kHasTurn };
+  return GateDecision{ .mTag = aResponse.mTag,
+                       .mOutcome = GateOutcome::kHasPermit };
 }
 
-GateTick
+GateActions
 QuarantineGate::Tick(TimePoint aNow)
 {
-  GateTick tick;
+  GateActions actions;
   std::erase_if(mWaiting, [&](const auto& aPair) {
     const Waiting& waiting = aPair.second;
     const bool late =
-      aNow - waiting.mSince >= kWaitMost || aNow >= waiting.mUntil;
+      aNow - waiting.mSince >= kMaxPermitWait || aNow >= waiting.mUntil;
     if (late) {
-      tick.mDecided.push_back(
-        { .mTag = aPair.first, .mOutcome = GateOutcome::kTooLate });
-      tick.mEnded.push_back(
+      actions.mDecisions.push_back(
+        { .mTag = aPair.first, .mOutcome = GateOutcome::kPermitTimeout });
+      actions.mEnded.push_back(
         { .mContent = waiting.mContent, .mTag = aPair.first });
     }
     return late;
   });
   for (auto& [tag, waiting] : mWaiting) {
-    if (aNow - waiting.mAskedAt >= kAskAgain) {
-      waiting.mAskedAt = aNow;
-      tick.mAsks.push_back({ .mContent = waiting.mContent,
-                             .mTag = tag,
-                             .mForMs = ToMs(waiting.mUntil - aNow) });
+    if (aNow - waiting.mRequestedAt >= kPermitRetryInterval) {
+      waiting.mRequestedAt = aNow;
+      actions.mPermitRequests.push_back(
+        { .mContent = waiting.mContent,
+          .mTag = tag,
+          .mForMs = ToMs(waiting.mUntil - aNow) });
     }
   }
-  std::erase_if(mTurns, [&](const auto& aPair) {
-    const Turn& turn = aPair.second;
-    if (!turn.mBackAt || aNow < *turn.mBackAt) {
+  std::erase_if(mPermits, [&](const auto& aPair) {
+    const Permit& permit = aPair.second;
+    if (!permit.mReleaseAt || aNow < *permit.mReleaseAt) {
       return false;
     }
-    tick.mEnded.push_back(
-      { .mContent = turn.mContent, .mTag = aPair.first, .mAnswered = false });
+    actions.mEnded.push_back(
+      { .mContent = permit.mContent, .mTag = aPair.first, .mAnswered = false });
     return true;
   });
-  return tick;
+  return actions;
 }
 
-// Its turn may be granted at this moment: it is given back, behind the question
-// for it, as one that is over.
+// Its permit may be granted at this moment: it is given back, behind the
+// question for it, as one that is over.
 void
-QuarantineGate::Forget(std::uint64_t aTag)
+QuarantineGate::Cancel(std::uint64_t aTag)
 {
   const auto waiting = mWaiting.find(aTag);
   if (waiting != mWaiting.end()) {
-    mTurns[aTag] = { .mContent = waiting->second.mContent,
-                     .mBackAt = TimePoint() };
+    mPermits[aTag] = { .mContent = waiting->second.mContent,
+                       .mReleaseAt = TimePoint() };
     mWaiting.erase(waiting);
   }
 }
 
-std::optional<TurnEnded>
+std::optional<RunEnded>
 QuarantineGate::Answered(std::uint64_t aTag,
                          const ContentId& aContent,
                          TimePoint aNow)
 {
-  mAnswers.Note(aContent, aNow);
-  mTurns.erase(aTag);
+  mCompletions.Record(aContent, aNow);
+  mPermits.erase(aTag);
   if (aTag == 0 && StageOf(aContent) == QuarantineStage::kCleared) {
     return std::nullopt;
   }
-  return TurnEnded{ .mContent = aContent, .mTag = aTag, .mAnswered = true };
+  return RunEnded{ .mContent = aContent, .mTag = aTag, .mAnswered = true };
 }
 
-TurnEnded
+RunEnded
 QuarantineGate::Ended(std::uint64_t aTag)
 {
-  TurnEnded ended{ .mTag = aTag };
-  const auto turn = mTurns.find(aTag);
-  if (turn != mTurns.end()) {
-    ended.mContent = turn->second.mContent;
-    mTurns.erase(turn);
+  RunEnded ended{ .mTag = aTag };
+  const auto permit = mPermits.find(aTag);
+  if (permit != mPermits.end()) {
+    ended.mContent = permit->second.mContent;
+    mPermits.erase(permit);
   }
   return ended;
 }
 
-// Given back at once, the turn would go to the next request before the leader
+// Given back at once, the permit would go to the next request before the leader
 // has heard what the last one did.
 void
 QuarantineGate::Lost(std::uint64_t aTag, TimePoint aNow)
 {
-  const auto turn = mTurns.find(aTag);
-  if (turn != mTurns.end()) {
-    turn->second.mBackAt = aNow + kTurnBackAfter;
+  const auto permit = mPermits.find(aTag);
+  if (permit != mPermits.end()) {
+    permit->second.mReleaseAt = aNow + kPermitReleaseDelay;
   }
 }
 
--- a/src/routing/QuarantineBank.cpp
+++ b/src/routing/QuarantineManager.cpp
@@ -1,4 +1,4 @@
-#include "peridotspool/routing/QuarantineBank.h"
+#include "peridotspool/routing/QuarantineManager.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,95 +8,95 @@
 namespace {
 
 /** Ends in a row after which a content isn't run any more. */
-constexpr std::uint32_t kEndsToRefuse = 3;
+constexpr std::uint32_t kCrashesToRefuse = 3;
 /** Ends after which it runs once at a time. */
-constexpr std::size_t kEndsToSlow = 2;
+constexpr std::size_t kCrashesToSerialize = 2;
 /**
  * Ages cross the network with the report, so that a run may look later than it
- * was by as much as a message takes. A run that had a turn began after the ends
- * before it in any case.
+ * was by as much as a message takes. A run that had a permit began after the
+ * ends before it in any case.
  */
-constexpr Duration kSameMoment = std::chrono::milliseconds(250);
+constexpr Duration kSequenceMargin = std::chrono::milliseconds(250);
 /** A content that nothing was heard of for this long is like any other. */
-constexpr Duration kSuspectFor = std::chrono::minutes(10);
-constexpr Duration kRefusedFor = std::chrono::hours(1);
-constexpr Duration kLongestTurn = std::chrono::seconds(30);
-constexpr Duration kProposeAgain = std::chrono::seconds(1);
-constexpr Duration kTouchEach = std::chrono::seconds(1);
+constexpr Duration kSuspectRetention = std::chrono::minutes(10);
+constexpr Duration kRefusalRetention = std::chrono::hours(1);
+constexpr Duration kMaxPermitTime = std::chrono::seconds(30);
+constexpr Duration kProposalRetryInterval = std::chrono::seconds(1);
+constexpr Duration kTouchInterval = std::chrono::seconds(1);
 /** When hundreds of upstreams end at once, each request there is a suspect. */
-constexpr std::size_t kMostSuspects = 4096;
+constexpr std::size_t kMaxSuspects = 4096;
 /** Evidence of one content; by then it is refused or runs once at a time. */
-constexpr std::size_t kMostCrashes = 16;
+constexpr std::size_t kMaxCrashes = 16;
 
 std::uint32_t
 CapMs(std::uint32_t aMs)
 {
-  constexpr std::uint32_t kMost = 600000;
-  return std::min(aMs, kMost);
+  constexpr std::uint32_t kMaxAgeMs = 600000;
+  return std::min(aMs, kMaxAgeMs);
 }
 
 // Ends of the only copy that ran tell the most. The first end of all stays as
 // well: one that has to yield, among so many, ended beside others.
 template<typename Crashes>
 bool
-HasRoom(Crashes& aCrashes, bool aHadTurn)
+HasRoom(Crashes& aCrashes, bool aHadPermit)
 {
-  if (aCrashes.size() < kMostCrashes) {
+  if (aCrashes.size() < kMaxCrashes) {
     return true;
   }
-  const auto yields =
+  const auto replaceable =
     std::find_if(aCrashes.begin() + 1, aCrashes.end(), [](const auto& aOne) {
-      return !aOne.mHadTurn;
+      return !aOne.mHadPermit;
     });
-  if (!aHadTurn || yields == aCrashes.end()) {
+  if (!aHadPermit || replaceable == aCrashes.end()) {
     return false;
   }
-  aCrashes.erase(yields);
+  aCrashes.erase(replaceable);
   return true;
 }
 
 } // namespace
 
-QuarantineBank::QuarantineBank(const QuarantineTable& aCommitted,
-                               TimePoint aNow)
-  : mSeen(aCommitted.mNumber)
+QuarantineManager::QuarantineManager(const QuarantineTable& aCommitted,
+                                     TimePoint aNow)
+  : mAppliedNumber(aCommitted.mNumber)
 {
   for (const QuarantineRow& row : aCommitted.mRows) {
     if (row.mChange.mStage == QuarantineStage::kCleared) {
       continue;
     }
     Suspect& suspect = mSuspects[row.mChange.mContent];
-    suspect.mCountedBefore = row.mChange.mCounted;
-    suspect.mBefore = row.mChange.mCrashes;
-    suspect.mBeforeUntil = aNow;
-    suspect.mRefusedBefore = row.mChange.mStage == QuarantineStage::kRefused;
+    suspect.mCommittedCount = row.mChange.mCounted;
+    suspect.mCommittedCrashes = row.mChange.mCrashes;
+    suspect.mCommittedUntil = aNow;
+    suspect.mCommittedRefusal = row.mChange.mStage == QuarantineStage::kRefused;
     suspect.mTouchedAt = aNow;
     mOrder.emplace_back(aNow, row.mChange.mContent);
   }
 }
 
-CrashTaken
-QuarantineBank::Take(const Address& aFrom,
-                     const CrashReport& aReport,
-                     const QuarantineTable& aCommitted,
-                     TimePoint aNow)
+CrashReportAck
+QuarantineManager::HandleReport(const Address& aFrom,
+                                const CrashReport& aReport,
+                                const QuarantineTable& aCommitted,
+                                TimePoint aNow)
 {
-  for (const CrashLine& line : aReport.mLines) {
-    TakeLine(aFrom, line, aCommitted, aNow);
+  for (const ReportedCrash& reported : aReport.mLines) {
+    RecordCrash(aFrom, reported, aCommitted, aNow);
   }
   return { .mNumber = aReport.mNumber };
 }
 
 void
-QuarantineBank::TakeLine(const Address& aFrom,
-                         const CrashLine& aLine,
-                         const QuarantineTable& aCommitted,
-                         TimePoint aNow)
+QuarantineManager::RecordCrash(const Address& aFrom,
+                               const ReportedCrash& aReported,
+                               const QuarantineTable& aCommitted,
+                               TimePoint aNow)
 {
-  const CrashRecord record{ .mUpstream = aLine.mUpstream,
-                            .mIncarnation = aLine.mIncarnation,
+  const CrashRecord record{ .mUpstream = aReported.mUpstream,
+                            .mIncarnation = aReported.mIncarnation,
                             .mSeenBy = ToText(aFrom) };
-  const QuarantineRow* row = aCommitted.Find(aLine.mContent);
+  const QuarantineRow* row = aCommitted.Find(aReported.mContent);
   const bool cleared =
     row != nullptr && row->mChange.mStage == QuarantineStage::kCleared &&
     std::any_of(row->mChange.mCrashes.begin(),
@@ -108,20 +108,22 @@
   if (cleared) {
     return;
   }
-  if (!mSuspects.contains(aLine.mContent)) {
-    MakeRoom();
+  if (!mSuspects.contains(aReported.mContent)) {
+    EvictSuspects();
   }
-  Suspect& suspect = mSuspects[aLine.mContent];
-  if (suspect.mTurn && aLine.mHadTurn && suspect.mTurn->mFrom == aFrom) {
-    suspect.mTurn.reset();
+  Suspect& suspect = mSuspects[aReported.mContent];
+  if (suspect.mPermit && aReported.mHadPermit &&
+      suspect.mPermit->mFrom == aFrom) {
+    suspect.mPermit.reset();
   }
   // One life counts once, however many copies of the content it was running.
-  if (!Knows(suspect, record) && HasRoom(suspect.mCrashes, aLine.mHadTurn)) {
+  if (!IsKnown(suspect, record) &&
+      HasRoom(suspect.mCrashes, aReported.mHadPermit)) {
     const Crash crash{
       .mRecord = record,
-      .mSentAt = aNow - std::chrono::milliseconds(CapMs(aLine.mSentAgoMs)),
-      .mLostAt = aNow - std::chrono::milliseconds(CapMs(aLine.mLostAgoMs)),
-      .mHadTurn = aLine.mHadTurn
+      .mSentAt = aNow - std::chrono::milliseconds(CapMs(aReported.mSentAgoMs)),
+      .mLostAt = aNow - std::chrono::milliseconds(CapMs(aReported.mLostAgoMs)),
+      .mHadPermit = aReported.mHadPermit
     };
     const auto place = std::find_if(
       suspect.mCrashes.begin(), suspect.mCrashes.end(), [&](const Crash& aOne) {
@@ -129,18 +131,20 @@
       });
     suspect.mCrashes.insert(place, crash);
   }
-  Touch(aLine.mContent, suspect, aNow);
-  mOpen.insert(aLine.mContent);
+  Touch(aReported.mContent, suspect, aNow);
+  mDirty.insert(aReported.mContent);
 }
 
 bool
-QuarantineBank::Knows(const Suspect& aSuspect, const CrashRecord& aLife)
+QuarantineManager::IsKnown(const Suspect& aSuspect, const CrashRecord& aRecord)
 {
   const auto same = [&](const CrashRecord& aOne) {
-    return aOne.mUpstream == aLife.mUpstream &&
-           aOne.mIncarnation == aLife.mIncarnation;
+    return aOne.mUpstream == aRecord.mUpstream &&
+           aOne.mIncarnation == aRecord.mIncarnation;
   };
-  return std::any_of(aSuspect.mBefore.begin(), aSuspect.mBefore.end(), same) ||
+  return std::any_of(aSuspect.mCommittedCrashes.begin(),
+                     aSuspect.mCommittedCrashes.end(),
+                     same) ||
          std::any_of(aSuspect.mCrashes.begin(),
                      aSuspect.mCrashes.end(),
                      [&](const Crash& aOne) { return same(aOne.mRecord); });
@@ -150,12 +154,12 @@
 // which may be any: a power supply, a bad release. Each end that counts is of a
 // run that was sent after the end before it.
 std::uint32_t
-QuarantineBank::Counted(const Suspect& aSuspect)
+QuarantineManager::CountSequential(const Suspect& aSuspect)
 {
-  std::uint32_t counted = aSuspect.mCountedBefore;
-  TimePoint until = aSuspect.mBeforeUntil;
+  std::uint32_t counted = aSuspect.mCommittedCount;
+  TimePoint until = aSuspect.mCommittedUntil;
   for (const Crash& crash : aSuspect.mCrashes) {
-    const Duration margin = crash.mHadTurn ? Duration(0) : kSameMoment;
+    const Duration margin = crash.mHadPermit ? Duration(0) : kSequenceMargin;
     if (counted == 0 || crash.mSentAt >= until + margin) {
       ++counted;
       until = crash.mLostAt;
@@ -167,99 +171,100 @@
 // Of a content that many ask for, some copy is at nearly every upstream that
 // ends. What nothing else explains is an end under the one copy that runs.
 bool
-QuarantineBank::HadTurn(const Suspect& aSuspect)
+QuarantineManager::HadPermit(const Suspect& aSuspect)
 {
-  return aSuspect.mRefusedBefore ||
+  return aSuspect.mCommittedRefusal ||
          std::any_of(aSuspect.mCrashes.begin(),
                      aSuspect.mCrashes.end(),
-                     [](const Crash& aOne) { return aOne.mHadTurn; });
+                     [](const Crash& aOne) { return aOne.mHadPermit; });
 }
 
 QuarantineStage
-QuarantineBank::StageOf(const Suspect& aSuspect)
+QuarantineManager::StageOf(const Suspect& aSuspect)
 {
   if (aSuspect.mAnswered) {
     return QuarantineStage::kCleared;
   }
-  if (Counted(aSuspect) >= kEndsToRefuse && HadTurn(aSuspect)) {
+  if (CountSequential(aSuspect) >= kCrashesToRefuse && HadPermit(aSuspect)) {
     return QuarantineStage::kRefused;
   }
-  return aSuspect.mBefore.size() + aSuspect.mCrashes.size() >= kEndsToSlow
+  return aSuspect.mCommittedCrashes.size() + aSuspect.mCrashes.size() >=
+             kCrashesToSerialize
            ? QuarantineStage::kOneAtATime
            : QuarantineStage::kCleared;
 }
 
-TurnAnswer
-QuarantineBank::Take(const Address& aFrom,
-                     const TurnAsk& aAsk,
-                     const QuarantineTable& aCommitted,
-                     TimePoint aNow)
+PermitResponse
+QuarantineManager::HandlePermitRequest(const Address& aFrom,
+                                       const PermitRequest& aRequest,
+                                       const QuarantineTable& aCommitted,
+                                       TimePoint aNow)
 {
-  TurnAnswer answer{ .mTag = aAsk.mTag, .mGranted = true };
-  const QuarantineRow* row = aCommitted.Find(aAsk.mContent);
-  const auto suspect = mSuspects.find(aAsk.mContent);
+  PermitResponse response{ .mTag = aRequest.mTag, .mGranted = true };
+  const QuarantineRow* row = aCommitted.Find(aRequest.mContent);
+  const auto suspect = mSuspects.find(aRequest.mContent);
   const bool listed =
     row != nullptr && row->mChange.mStage != QuarantineStage::kCleared;
   if (!listed || suspect == mSuspects.end() || suspect->second.mAnswered) {
-    return answer;
+    return response;
   }
-  auto& turn = suspect->second.mTurn;
-  const bool taken = turn && turn->mUntil > aNow &&
-                     (turn->mFrom != aFrom || turn->mTag != aAsk.mTag);
-  if (taken || row->mChange.mStage == QuarantineStage::kRefused ||
+  auto& permit = suspect->second.mPermit;
+  const bool held = permit && permit->mUntil > aNow &&
+                    (permit->mFrom != aFrom || permit->mTag != aRequest.mTag);
+  if (held || row->mChange.mStage == QuarantineStage::kRefused ||
       StageOf(suspect->second) == QuarantineStage::kRefused) {
-    answer.mGranted = false;
-    return answer;
+    response.mGranted = false;
+    return response;
   }
-  const Duration wanted = std::chrono::milliseconds(aAsk.mForMs);
-  turn = Turn{ .mFrom = aFrom,
-               .mTag = aAsk.mTag,
-               .mUntil = aNow + std::min(wanted, kLongestTurn) };
-  return answer;
+  const Duration wanted = std::chrono::milliseconds(aRequest.mForMs);
+  permit = Permit{ .mFrom = aFrom,
+                   .mTag = aRequest.mTag,
+                   .mUntil = aNow + std::min(wanted, kMaxPermitTime) };
+  return response;
 }
 
-// Whatever an upstream can answer does not end it: what ended before was
+// Whatever an upstream can response does not end it: what ended before was
 // ended by something else.
 void
-QuarantineBank::Take(const Address& aFrom,
-                     const TurnEnded& aEnded,
-                     TimePoint aNow)
+QuarantineManager::HandleRunEnded(const Address& aFrom,
+                                  const RunEnded& aEnded,
+                                  TimePoint aNow)
 {
   const auto found = mSuspects.find(aEnded.mContent);
   if (found == mSuspects.end()) {
     return;
   }
   Suspect& suspect = found->second;
-  if (suspect.mTurn && suspect.mTurn->mFrom == aFrom &&
-      suspect.mTurn->mTag == aEnded.mTag) {
-    suspect.mTurn.reset();
+  if (suspect.mPermit && suspect.mPermit->mFrom == aFrom &&
+      suspect.mPermit->mTag == aEnded.mTag) {
+    suspect.mPermit.reset();
   }
   if (aEnded.mAnswered) {
     const TimePoint answeredAt =
       aNow - std::chrono::milliseconds(CapMs(aEnded.mAgoMs));
-    ForgetBefore(answeredAt, suspect);
-    mOpen.insert(aEnded.mContent);
+    DropCrashesBefore(answeredAt, suspect);
+    mDirty.insert(aEnded.mContent);
   }
   Touch(aEnded.mContent, suspect, aNow);
 }
 
 void
-QuarantineBank::ForgetBefore(TimePoint aAnsweredAt, Suspect& aSuspect)
+QuarantineManager::DropCrashesBefore(TimePoint aAnsweredAt, Suspect& aSuspect)
 {
   std::erase_if(aSuspect.mCrashes,
                 [&](const Crash& aOne) { return aOne.mLostAt <= aAnsweredAt; });
-  if (aSuspect.mBeforeUntil <= aAnsweredAt) {
-    aSuspect.mBefore.clear();
-    aSuspect.mCountedBefore = 0;
-    aSuspect.mRefusedBefore = false;
+  if (aSuspect.mCommittedUntil <= aAnsweredAt) {
+    aSuspect.mCommittedCrashes.clear();
+    aSuspect.mCommittedCount = 0;
+    aSuspect.mCommittedRefusal = false;
   }
-  if (aSuspect.mCrashes.empty() && aSuspect.mBefore.empty()) {
+  if (aSuspect.mCrashes.empty() && aSuspect.mCommittedCrashes.empty()) {
     aSuspect = Suspect{ .mAnswered = true, .mTouchedAt = aSuspect.mTouchedAt };
   }
 }
 
 void
-QuarantineBank::CameAgain(const ContentId& aContent, TimePoint aNow)
+QuarantineManager::RecordResubmission(const ContentId& aContent, TimePoint aNow)
 {
   const auto found = mSuspects.find(aContent);
   if (found != mSuspects.end()) {
@@ -268,11 +273,11 @@
 }
 
 void
-QuarantineBank::Touch(const ContentId& aContent,
-                      Suspect& aSuspect,
-                      TimePoint aNow)
+QuarantineManager::Touch(const ContentId& aContent,
+                         Suspect& aSuspect,
+                         TimePoint aNow)
 {
-  if (!aSuspect.mTouchedAt || aNow - *aSuspect.mTouchedAt >= kTouchEach) {
+  if (!aSuspect.mTouchedAt || aNow - *aSuspect.mTouchedAt >= kTouchInterval) {
     aSuspect.mTouchedAt = aNow;
     mOrder.emplace_back(aNow, aContent);
   }
@@ -281,10 +286,10 @@
 // The ones that go first are those that one life ended under: nearly all of
 // them were only there when it happened.
 void
-QuarantineBank::MakeRoom()
+QuarantineManager::EvictSuspects()
 {
   for (std::size_t looked = mOrder.size();
-       looked > 0 && mSuspects.size() >= kMostSuspects;
+       looked > 0 && mSuspects.size() >= kMaxSuspects;
        --looked) {
     const auto [touchedAt, content] = mOrder.front();
     mOrder.pop_front();
@@ -295,7 +300,7 @@
     if (StageOf(found->second) == QuarantineStage::kCleared &&
         !found->second.mAnswered) {
       mSuspects.erase(found);
-      mOpen.erase(content);
+      mDirty.erase(content);
     } else {
       mOrder.emplace_back(touchedAt, content);
     }
@@ -303,9 +308,9 @@
 }
 
 void
-QuarantineBank::ForgetOld(TimePoint aNow)
+QuarantineManager::ExpireSuspects(TimePoint aNow)
 {
-  while (!mOrder.empty() && aNow - mOrder.front().first >= kSuspectFor) {
+  while (!mOrder.empty() && aNow - mOrder.front().first >= kSuspectRetention) {
     const auto [touchedAt, content] = mOrder.front();
     mOrder.pop_front();
     const auto found = mSuspects.find(content);
@@ -315,28 +320,28 @@
     Suspect& suspect = found->second;
     const QuarantineStage stage = StageOf(suspect);
     if (stage == QuarantineStage::kRefused &&
-        aNow - *suspect.mTouchedAt < kRefusedFor) {
+        aNow - *suspect.mTouchedAt < kRefusalRetention) {
       mOrder.emplace_back(aNow, content);
     } else if (stage == QuarantineStage::kCleared && !suspect.mAnswered) {
       mSuspects.erase(found);
     } else {
       suspect = Suspect{ .mAnswered = true, .mTouchedAt = aNow };
       mOrder.emplace_back(aNow, content);
-      mOpen.insert(content);
+      mDirty.insert(content);
     }
   }
 }
 
 // What was committed since: by this leader, or by an operator who lifts it.
 void
-QuarantineBank::NoteCommitted(const QuarantineTable& aCommitted)
+QuarantineManager::SyncCommitted(const QuarantineTable& aCommitted)
 {
   for (const QuarantineRow& row : aCommitted.mRows) {
-    if (row.mNumber <= mSeen) {
+    if (row.mNumber <= mAppliedNumber) {
       continue;
     }
     const ContentId& content = row.mChange.mContent;
-    mOpen.insert(content);
+    mDirty.insert(content);
     const auto found = mSuspects.find(content);
     if (row.mChange.mStage != QuarantineStage::kCleared) {
       // Without evidence any more it is to be cleared again.
@@ -345,16 +350,16 @@
       mSuspects.erase(found);
     }
   }
-  mSeen = aCommitted.mNumber;
+  mAppliedNumber = aCommitted.mNumber;
 }
 
 QuarantineChange
-QuarantineBank::ChangeOf(const ContentId& aContent, const Suspect& aSuspect)
+QuarantineManager::ChangeOf(const ContentId& aContent, const Suspect& aSuspect)
 {
   QuarantineChange change{ .mContent = aContent,
                            .mStage = StageOf(aSuspect),
-                           .mCounted = Counted(aSuspect),
-                           .mCrashes = aSuspect.mBefore };
+                           .mCounted = CountSequential(aSuspect),
+                           .mCrashes = aSuspect.mCommittedCrashes };
   for (const Crash& crash : aSuspect.mCrashes) {
     change.mCrashes.push_back(crash.mRecord);
   }
@@ -362,12 +367,13 @@
 }
 
 std::vector<QuarantineChange>
-QuarantineBank::Due(const QuarantineTable& aCommitted, TimePoint aNow)
+QuarantineManager::PendingChanges(const QuarantineTable& aCommitted,
+                                  TimePoint aNow)
 {
-  ForgetOld(aNow);
-  NoteCommitted(aCommitted);
+  ExpireSuspects(aNow);
+  SyncCommitted(aCommitted);
   std::vector<QuarantineChange> due;
-  std::erase_if(mOpen, [&](const ContentId& aContent) {
+  std::erase_if(mDirty, [&](const ContentId& aContent) {
     const auto found = mSuspects.find(aContent);
     if (found == mSuspects.end()) {
       return true;
@@ -385,7 +391,7 @@
     }
     const bool proposed = suspect.mProposedAt &&
                           suspect.mProposed == StageOf(suspect) &&
-                          aNow - *suspect.mProposedAt < kProposeAgain;
+                          aNow - *suspect.mProposedAt < kProposalRetryInterval;
     if (!proposed) {
       suspect.mProposed = StageOf(suspect);
       suspect.mProposedAt = aNow;
--- a/src/routing/RetryDecision.cpp
+++ b/src/routing/RetryDecision.cpp
@@ -10,29 +10,30 @@
 constexpr std::uint64_t kMaxDoublings = 20;
 
 Duration
-JitteredPause(const FailedTry& aTry, const settings::RetryRules& aRules)
+JitteredPause(const FailedAttempt& aAttempt, const settings::RetryRules& aRules)
 {
-  const std::uint64_t doublings = std::min(aTry.mTries - 1, kMaxDoublings);
+  const std::uint64_t doublings =
+    std::min(aAttempt.mAttempts - 1, kMaxDoublings);
   const Duration bound = std::min<Duration>(
     aRules.mBackoff * (1LL << doublings), aRules.mBackoffMax);
   const auto range = static_cast<std::uint64_t>(bound.count()) + 1;
-  return Duration(static_cast<Duration::rep>(aTry.mRandom % range));
+  return Duration(static_cast<Duration::rep>(aAttempt.mRandom % range));
 }
 
 } // namespace
 
 RetryDecision
-DecideRetry(const FailedTry& aTry,
+DecideRetry(const FailedAttempt& aAttempt,
             const settings::RetryRules& aRules,
             RetryBudget& aBudget,
             TimePoint aNow)
 {
-  if (aTry.mTries >= aRules.mAttempts) {
+  if (aAttempt.mAttempts >= aRules.mAttempts) {
     return NoRetry::kAttemptsSpent;
   }
-  const Duration pause = JitteredPause(aTry, aRules);
+  const Duration pause = JitteredPause(aAttempt, aRules);
   // A retry that can't end in time only takes an upstream's time from others.
-  if (aNow + pause + aTry.mLeastTime >= aTry.mDeadline) {
+  if (aNow + pause + aAttempt.mMinTime >= aAttempt.mDeadline) {
     return NoRetry::kDeadlineTooNear;
   }
   if (!aBudget.TakeRetry()) {
--- a/src/routing/Router.cpp
+++ b/src/routing/Router.cpp
@@ -14,11 +14,11 @@
 bool
 Router::Announce(const UpstreamAnnouncement& aAnnouncement, TimePoint aNow)
 {
-  const auto taken = mState->mTable.Announce(aAnnouncement, aNow);
-  if (taken && taken->mNewLife) {
-    mState->mPrefixes.Clear(taken->mIndex);
+  const auto result = mState->mTable.Announce(aAnnouncement, aNow);
+  if (result && result->mNewIncarnation) {
+    mState->mPrefixes.Clear(result->mIndex);
   }
-  return taken.has_value();
+  return result.has_value();
 }
 
 void
@@ -28,9 +28,9 @@
 }
 
 std::optional<RouteChoice>
-Router::Choose(const RouteQuery& aQuery, TimePoint aNow, NoRoute& aWhyNot)
+Router::Choose(const RouteQuery& aQuery, TimePoint aNow, NoRoute& aReason)
 {
-  return mState->Choose(aQuery, aNow, aWhyNot);
+  return mState->Choose(aQuery, aNow, aReason);
 }
 
 void
@@ -85,7 +85,7 @@
 Router::Find(const UpstreamName& aUpstream, TimePoint aNow) const
 {
   const auto index = mState->mTable.Find(aUpstream);
-  if (!index || mState->mTable.Figures(*index).mExpires <= aNow) {
+  if (!index || mState->mTable.Stats(*index).mExpires <= aNow) {
     return std::nullopt;
   }
   return mState->mTable.Detail(*index).mAnnouncement;
--- a/src/routing/RouterState.cpp
+++ b/src/routing/RouterState.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** Weight of the newest answer in the share of guesses that were right. */
-constexpr float kGuessLearnRate = 0.1F;
+constexpr float kGuessEwmaWeight = 0.1F;
 
 bool
 Avoids(const RouteQuery& aQuery, const UpstreamName& aName)
@@ -35,34 +35,35 @@
 }
 
 std::optional<RouteChoice>
-RouterState::Choose(const RouteQuery& aQuery, TimePoint aNow, NoRoute& aWhyNot)
+RouterState::Choose(const RouteQuery& aQuery, TimePoint aNow, NoRoute& aReason)
 {
   const ServicePool* pool = mTable.Pool(aQuery.mService);
   if (pool == nullptr) {
-    aWhyNot = NoRoute::kNoUpstream;
+    aReason = NoRoute::kNoUpstream;
     return std::nullopt;
   }
-  Weighing weighing;
-  WeighHolders(weighing, *pool, aQuery, aNow);
-  WeighSome(weighing, mOptions.mCandidates, *pool, aQuery, aNow);
-  const Candidate* best = Best(weighing);
+  Evaluation evaluation;
+  EvaluatePrefixHolders(evaluation, *pool, aQuery, aNow);
+  EvaluateSample(evaluation, mOptions.mCandidates, *pool, aQuery, aNow);
+  const Candidate* best = Best(evaluation);
   if (best == nullptr) {
     // A few bad candidates are no ground for a refusal: look at more.
-    WeighSome(weighing, mOptions.mLastLook, *pool, aQuery, aNow);
-    best = Best(weighing);
+    EvaluateSample(
+      evaluation, mOptions.mFallbackCandidates, *pool, aQuery, aNow);
+    best = Best(evaluation);
   }
   if (best == nullptr) {
-    aWhyNot = WhyNot(weighing, *pool);
+    aReason = NoRouteReason(evaluation, *pool);
     return std::nullopt;
   }
-  return Describe(weighing, *best);
+  return Describe(evaluation, *best);
 }
 
 bool
-RouterState::Holds(const Weighing& aWeighing, UpstreamIndex aIndex) const
+RouterState::Contains(const Evaluation& aEvaluation, UpstreamIndex aIndex) const
 {
-  for (std::size_t at = 0; at < aWeighing.mCount; ++at) {
-    if (aWeighing.mCandidates[at].mIndex == aIndex) {
+  for (std::size_t at = 0; at < aEvaluation.mCount; ++at) {
+    if (aEvaluation.mCandidates[at].mIndex == aIndex) {
       return true;
     }
   }
@@ -70,68 +71,68 @@
 }
 
 void
-RouterState::WeighHolders(Weighing& aWeighing,
-                          const ServicePool& aPool,
-                          const RouteQuery& aQuery,
-                          TimePoint aNow)
+RouterState::EvaluatePrefixHolders(Evaluation& aEvaluation,
+                                   const ServicePool& aPool,
+                                   const RouteQuery& aQuery,
+                                   TimePoint aNow)
 {
   if (aQuery.mPrefixBlocks.empty()) {
     return;
   }
-  aWeighing.mMatch = mPrefixes.Find(aQuery.mPrefixBlocks);
-  for (std::size_t at = 0; at < aWeighing.mMatch.mCount; ++at) {
-    const UpstreamIndex index = aWeighing.mMatch.mHolders[at].mUpstream;
+  aEvaluation.mMatch = mPrefixes.Find(aQuery.mPrefixBlocks);
+  for (std::size_t at = 0; at < aEvaluation.mMatch.mCount; ++at) {
+    const UpstreamIndex index = aEvaluation.mMatch.mHolders[at].mUpstream;
     const UpstreamDetail& detail = mTable.Detail(index);
-    if (detail.mServingAt != kNotServing &&
+    if (detail.mServingIndex != kNotServing &&
         detail.mAnnouncement.mService == aQuery.mService) {
-      Weigh(aWeighing, index, aPool, aQuery, aNow);
+      Evaluate(aEvaluation, index, aPool, aQuery, aNow);
     }
   }
 }
 
 void
-RouterState::WeighSome(Weighing& aWeighing,
-                       std::uint32_t aWanted,
-                       const ServicePool& aPool,
-                       const RouteQuery& aQuery,
-                       TimePoint aNow)
+RouterState::EvaluateSample(Evaluation& aEvaluation,
+                            std::uint32_t aWanted,
+                            const ServicePool& aPool,
+                            const RouteQuery& aQuery,
+                            TimePoint aNow)
 {
   const auto size = static_cast<std::uint32_t>(aPool.mServing.size());
   if (size == 0) {
     return;
   }
-  // A small service is weighed whole; of a large one, random ones: every entry
+  // A small service is weighed all; of a large one, random ones: every entry
   // taking the best of the same stale reports would send them all to one.
-  const bool whole = size <= aWanted;
-  const std::uint32_t tries = whole ? size : aWanted;
+  const bool all = size <= aWanted;
+  const std::uint32_t tries = all ? size : aWanted;
   for (std::uint32_t at = 0; at < tries; ++at) {
-    const std::uint32_t place = whole ? at : mRandom.Below(size);
+    const std::uint32_t place = all ? at : mRandom.Below(size);
     const UpstreamIndex index = aPool.mServing[place];
-    if (!Holds(aWeighing, index)) {
-      Weigh(aWeighing, index, aPool, aQuery, aNow);
+    if (!Contains(aEvaluation, index)) {
+      Evaluate(aEvaluation, index, aPool, aQuery, aNow);
     }
   }
 }
 
 void
-RouterState::Weigh(Weighing& aWeighing,
-                   UpstreamIndex aIndex,
-                   const ServicePool& aPool,
-                   const RouteQuery& aQuery,
-                   TimePoint aNow)
+RouterState::Evaluate(Evaluation& aEvaluation,
+                      UpstreamIndex aIndex,
+                      const ServicePool& aPool,
+                      const RouteQuery& aQuery,
+                      TimePoint aNow)
 {
-  const UpstreamFigures& figures = mTable.Figures(aIndex);
-  const bool gone = figures.mExpires <= aNow;
-  if (gone || aWeighing.mCount == kMaxCandidates ||
+  const UpstreamStats& stats = mTable.Stats(aIndex);
+  const bool gone = stats.mExpires <= aNow;
+  if (gone || aEvaluation.mCount == kMaxCandidates ||
       (!aQuery.mAvoid.empty() &&
        Avoids(aQuery, mTable.Detail(aIndex).mAnnouncement.mName))) {
     return;
   }
-  Candidate& candidate = aWeighing.mCandidates[aWeighing.mCount++];
+  Candidate& candidate = aEvaluation.mCandidates[aEvaluation.mCount++];
   candidate.mIndex = aIndex;
-  candidate.mCachedTokens = CachedTokens(aWeighing, aIndex, aQuery);
+  candidate.mCachedTokens = CachedTokens(aEvaluation, aIndex, aQuery);
   candidate.mParts =
-    ScoreCandidate({ .mFigures = figures,
+    ScoreCandidate({ .mStats = stats,
                      .mServiceHoldMicros = aPool.mHoldMicros,
                      .mHighestPrice = aPool.mHighestPrice,
                      .mCachedTokens = candidate.mCachedTokens },
@@ -141,14 +142,14 @@
 }
 
 double
-RouterState::CachedTokens(const Weighing& aWeighing,
+RouterState::CachedTokens(const Evaluation& aEvaluation,
                           UpstreamIndex aIndex,
                           const RouteQuery& aQuery) const
 {
-  for (std::size_t at = 0; at < aWeighing.mMatch.mCount; ++at) {
-    const PrefixHolder& holder = aWeighing.mMatch.mHolders[at];
+  for (std::size_t at = 0; at < aEvaluation.mMatch.mCount; ++at) {
+    const PrefixHolder& holder = aEvaluation.mMatch.mHolders[at];
     if (holder.mUpstream == aIndex) {
-      const double sure = holder.mKnown ? 1 : mTable.Figures(aIndex).mGuessRate;
+      const double sure = holder.mKnown ? 1 : mTable.Stats(aIndex).mGuessRate;
       return sure * TokensOf(aQuery, holder.mBlocks);
     }
   }
@@ -156,11 +157,11 @@
 }
 
 const RouterState::Candidate*
-RouterState::Best(const Weighing& aWeighing)
+RouterState::Best(const Evaluation& aEvaluation)
 {
   const Candidate* best = nullptr;
-  for (std::size_t at = 0; at < aWeighing.mCount; ++at) {
-    const Candidate& candidate = aWeighing.mCandidates[at];
+  for (std::size_t at = 0; at < aEvaluation.mCount; ++at) {
+    const Candidate& candidate = aEvaluation.mCandidates[at];
     const bool better =
       best == nullptr || candidate.mParts.Total() < best->mParts.Total();
     if (candidate.mParts.IsUsable() && better) {
@@ -171,13 +172,14 @@
 }
 
 NoRoute
-RouterState::WhyNot(const Weighing& aWeighing, const ServicePool& aPool)
+RouterState::NoRouteReason(const Evaluation& aEvaluation,
+                           const ServicePool& aPool)
 {
-  if (aWeighing.mCount == 0) {
+  if (aEvaluation.mCount == 0) {
     return aPool.mEjected > 0 ? NoRoute::kAllEjected : NoRoute::kNoUpstream;
   }
-  for (std::size_t at = 0; at < aWeighing.mCount; ++at) {
-    if (!aWeighing.mCandidates[at].mParts.mTooLate) {
+  for (std::size_t at = 0; at < aEvaluation.mCount; ++at) {
+    if (!aEvaluation.mCandidates[at].mParts.mMissesDeadline) {
       return NoRoute::kQueueFull;
     }
   }
@@ -185,7 +187,8 @@
 }
 
 RouteChoice
-RouterState::Describe(const Weighing& aWeighing, const Candidate& aBest) const
+RouterState::Describe(const Evaluation& aEvaluation,
+                      const Candidate& aBest) const
 {
   const UpstreamAnnouncement& chosen =
     mTable.Detail(aBest.mIndex).mAnnouncement;
@@ -193,11 +196,11 @@
                       .mIncarnation = chosen.mIncarnation,
                       .mKind = chosen.mKind,
                       .mAddress = chosen.mAddress,
-                      .mWeighed = {} };
-  choice.mWeighed.reserve(aWeighing.mCount);
-  for (std::size_t at = 0; at < aWeighing.mCount; ++at) {
-    const Candidate& candidate = aWeighing.mCandidates[at];
-    choice.mWeighed.push_back(
+                      .mCandidateScores = {} };
+  choice.mCandidateScores.reserve(aEvaluation.mCount);
+  for (std::size_t at = 0; at < aEvaluation.mCount; ++at) {
+    const Candidate& candidate = aEvaluation.mCandidates[at];
+    choice.mCandidateScores.push_back(
       { .mUpstream = mTable.Detail(candidate.mIndex).mAnnouncement.mName,
         .mExpectedFirstToken = Duration(
           static_cast<Duration::rep>(candidate.mParts.mFirstTokenMicros)),
@@ -225,7 +228,7 @@
   // on would send prompts to an upstream that computes them all again.
   if (detail.mCacheSequence != 0 &&
       aReport.mSequence != detail.mCacheSequence + 1) {
-    mPrefixes.LoseTrack(*index);
+    mPrefixes.MarkUncertain(*index);
   }
   detail.mCacheSequence = aReport.mSequence;
   for (const std::uint64_t block : aReport.mRemovedBlocks) {
@@ -250,13 +253,13 @@
     if (holder.mUpstream != aIndex || holder.mKnown) {
       continue;
     }
-    const double believed = TokensOf(aQuery, holder.mBlocks);
+    const double expected = TokensOf(aQuery, holder.mBlocks);
     const float right =
-      static_cast<double>(aCachedTokens) >= believed ? 1.0F : 0.0F;
-    float& rate = mTable.Figures(aIndex).mGuessRate;
-    rate += kGuessLearnRate * (right - rate);
+      static_cast<double>(aCachedTokens) >= expected ? 1.0F : 0.0F;
+    float& rate = mTable.Stats(aIndex).mGuessRate;
+    rate += kGuessEwmaWeight * (right - rate);
   }
-  // The whole prompt is in the engine's cache now: it has just computed it.
+  // The all prompt is in the engine's cache now: it has just computed it.
   mPrefixes.AddPrompt(aQuery.mPrefixBlocks, aIndex, true);
 }
 
--- a/src/routing/RouterState.h
+++ b/src/routing/RouterState.h
@@ -21,7 +21,7 @@
 
   std::optional<RouteChoice> Choose(const RouteQuery& aQuery,
                                     TimePoint aNow,
-                                    NoRoute& aWhyNot);
+                                    NoRoute& aReason);
   void Cached(const CacheReport& aReport);
   void Answered(UpstreamIndex aIndex,
                 const RouteQuery& aQuery,
@@ -41,34 +41,36 @@
     double mCachedTokens = 0;
   };
   /** The candidates of one decision. */
-  struct Weighing
+  struct Evaluation
   {
     std::array<Candidate, kMaxCandidates> mCandidates;
     std::size_t mCount = 0;
     PrefixMatch mMatch;
   };
 
-  bool Holds(const Weighing& aWeighing, UpstreamIndex aIndex) const;
-  void Weigh(Weighing& aWeighing,
-             UpstreamIndex aIndex,
-             const ServicePool& aPool,
-             const RouteQuery& aQuery,
-             TimePoint aNow);
-  void WeighHolders(Weighing& aWeighing,
-                    const ServicePool& aPool,
-                    const RouteQuery& aQuery,
-                    TimePoint aNow);
-  void WeighSome(Weighing& aWeighing,
-                 std::uint32_t aWanted,
-                 const ServicePool& aPool,
-                 const RouteQuery& aQuery,
-                 TimePoint aNow);
-  double CachedTokens(const Weighing& aWeighing,
+  bool Contains(const Evaluation& aEvaluation, UpstreamIndex aIndex) const;
+  void Evaluate(Evaluation& aEvaluation,
+                UpstreamIndex aIndex,
+                const ServicePool& aPool,
+                const RouteQuery& aQuery,
+                TimePoint aNow);
+  void EvaluatePrefixHolders(Evaluation& aEvaluation,
+                             const ServicePool& aPool,
+                             const RouteQuery& aQuery,
+                             TimePoint aNow);
+  void EvaluateSample(Evaluation& aEvaluation,
+                      std::uint32_t aWanted,
+                      const ServicePool& aPool,
+                      const RouteQuery& aQuery,
+                      TimePoint aNow);
+  double CachedTokens(const Evaluation& aEvaluation,
                       UpstreamIndex aIndex,
                       const RouteQuery& aQuery) const;
-  static const Candidate* Best(const Weighing& aWeighing);
-  static NoRoute WhyNot(const Weighing& aWeighing, const ServicePool& aPool);
-  RouteChoice Describe(const Weighing& aWeighing, const Candidate& aBest) const;
+  static const Candidate* Best(const Evaluation& aEvaluation);
+  static NoRoute NoRouteReason(const Evaluation& aEvaluation,
+                               const ServicePool& aPool);
+  RouteChoice Describe(const Evaluation& aEvaluation,
+                       const Candidate& aBest) const;
 
   RandomSource mRandom;
 };
--- a/src/routing/Score.cpp
+++ b/src/routing/Score.cpp
@@ -9,20 +9,20 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 /** A second beyond the first token's target weighs as many. */
-constexpr double kBeyondTarget = 4;
+constexpr double kOverTargetWeight = 4;
 /** What an answer expected after its deadline weighs, in seconds. */
-constexpr double kLatePenalty = 10;
+constexpr double kDeadlinePenaltySeconds = 10;
 /** The part of the target up to which the price counts. */
-constexpr double kSafePart = 0.5;
+constexpr double kPriceTargetFraction = 0.5;
 /** Requests of other entries that are on their way to an upstream. */
 constexpr double kUnseenRequests = 0.5;
 /**
  * How much longer a prompt takes in a full batch. More than the batch alone
  * costs: a busy upstream is also likelier to be found full on arrival.
  */
-constexpr double kBusyWeight = 3;
+constexpr double kBatchSlowdown = 3;
 /** Part of a prompt's time that a full cache hit saves. */
-constexpr double kCacheSaves = 0.9;
+constexpr double kCacheSavings = 0.9;
 
 // An upstream's own mean changes only with what is sent there. One that was
 // slow while too much was sent there would be kept out by it for good: it had
@@ -33,38 +33,38 @@
            const RouterOptions& aOptions,
            TimePoint aNow)
 {
-  if (aFacts.mFigures.mHoldMicros > 0 && aNow < aFacts.mFigures.mHoldExpires) {
-    return aFacts.mFigures.mHoldMicros;
+  if (aFacts.mStats.mHoldMicros > 0 && aNow < aFacts.mStats.mHoldExpires) {
+    return aFacts.mStats.mHoldMicros;
   }
   return aFacts.mServiceHoldMicros > 0
            ? aFacts.mServiceHoldMicros
-           : static_cast<double>(aOptions.mFirstHold.count());
+           : static_cast<double>(aOptions.mInitialHoldTime.count());
 }
 
 /** Returns the expected wait for a slot inside the upstream. */
 double
-WaitMicros(const UpstreamFigures& aFigures,
+WaitMicros(const UpstreamStats& aFigures,
            double aHold,
            const RouterOptions& aOptions)
 {
-  const double unseen = aOptions.mOthersSend ? kUnseenRequests : 0;
+  const double unseen = aOptions.mOtherEntriesSend ? kUnseenRequests : 0;
   const double ahead = aFigures.mLoad + unseen - aFigures.mSlots + 1;
   return ahead > 0 ? ahead * aHold / aFigures.mSlots : 0;
 }
 
 /** Returns the time of the prompt: a batch shares the engine. */
 double
-PromptMicros(const CandidateFacts& aFacts, const RouteQuery& aQuery)
+PrefillMicros(const CandidateFacts& aFacts, const RouteQuery& aQuery)
 {
-  const UpstreamFigures& figures = aFacts.mFigures;
+  const UpstreamStats& stats = aFacts.mStats;
   double computed = 1;
   if (aQuery.mPromptTokens > 0) {
-    computed -= kCacheSaves * aFacts.mCachedTokens /
+    computed -= kCacheSavings * aFacts.mCachedTokens /
                 static_cast<double>(aQuery.mPromptTokens);
   }
   const double busy =
-    std::min<double>(figures.mLoad, figures.mSlots) / figures.mSlots;
-  return figures.mFirstTokenMicros * computed * (1 + kBusyWeight * busy);
+    std::min<double>(stats.mLoad, stats.mSlots) / stats.mSlots;
+  return stats.mFirstTokenMicros * computed * (1 + kBatchSlowdown * busy);
 }
 
 /**
@@ -73,12 +73,13 @@
  * crowds the cheap upstreams until all that use them are late.
  */
 double
-PriceCounts(double aFirstTokenMicros, double aTarget)
+PriceWeight(double aFirstTokenMicros, double aTarget)
 {
   if (aTarget <= 0) {
     return 1;
   }
-  return std::clamp(1 - aFirstTokenMicros / (kSafePart * aTarget), 0.0, 1.0);
+  return std::clamp(
+    1 - aFirstTokenMicros / (kPriceTargetFraction * aTarget), 0.0, 1.0);
 }
 
 } // namespace
@@ -89,28 +90,28 @@
                const RouterOptions& aOptions,
                TimePoint aNow)
 {
-  const UpstreamFigures& figures = aFacts.mFigures;
+  const UpstreamStats& stats = aFacts.mStats;
   const double hold = HoldMicros(aFacts, aOptions, aNow);
   const auto remaining = static_cast<double>((aQuery.mDeadline - aNow).count());
   const auto target = static_cast<double>(aQuery.mFirstTokenTarget.count());
   ScoreParts parts;
-  parts.mFirstTokenMicros = std::round(WaitMicros(figures, hold, aOptions) +
-                                       PromptMicros(aFacts, aQuery));
+  parts.mFirstTokenMicros = std::round(WaitMicros(stats, hold, aOptions) +
+                                       PrefillMicros(aFacts, aQuery));
   parts.mQueueFull =
-    figures.mLoad >= figures.mSlots * (1 + aOptions.mMaxWaitingPerSlot);
-  parts.mTooLate = parts.mFirstTokenMicros >= remaining;
+    stats.mLoad >= stats.mSlots * (1 + aOptions.mMaxWaitingPerSlot);
+  parts.mMissesDeadline = parts.mFirstTokenMicros >= remaining;
   double seconds = parts.mFirstTokenMicros / kMicrosPerSecond;
   if (target > 0 && parts.mFirstTokenMicros > target) {
-    seconds += (kBeyondTarget - 1) * (parts.mFirstTokenMicros - target) /
+    seconds += (kOverTargetWeight - 1) * (parts.mFirstTokenMicros - target) /
                kMicrosPerSecond;
   }
   if (parts.mFirstTokenMicros + hold > remaining) {
-    seconds += kLatePenalty;
+    seconds += kDeadlinePenaltySeconds;
   }
   parts.mLatencyPart = aOptions.mLatencyWeight * seconds;
-  const double slack = PriceCounts(parts.mFirstTokenMicros, target);
-  parts.mCostPart = aOptions.mCostWeight * (slack * figures.mPrice +
-                                            (1 - slack) * aFacts.mHighestPrice);
+  const double slack = PriceWeight(parts.mFirstTokenMicros, target);
+  parts.mCostPart = aOptions.mCostWeight *
+                    (slack * stats.mPrice + (1 - slack) * aFacts.mHighestPrice);
   return parts;
 }
 
--- a/src/routing/Score.h
+++ b/src/routing/Score.h
@@ -6,10 +6,10 @@
 
 namespace peridotspool::routing {
 
-/** What a decision knows of one candidate besides its figures. */
+/** What a decision knows of one candidate besides its stats. */
 struct CandidateFacts
 {
-  UpstreamFigures mFigures;
+  UpstreamStats mStats;
   /** Mean time of the service's requests; zero if none has ended. */
   double mServiceHoldMicros = 0;
   /** Of the service's upstreams. */
@@ -26,10 +26,10 @@
   double mCostPart = 0;
   bool mQueueFull = false;
   /** True iff even the first token is expected after the deadline. */
-  bool mTooLate = false;
+  bool mMissesDeadline = false;
 
   double Total() const { return mLatencyPart + mCostPart; }
-  bool IsUsable() const { return !mQueueFull && !mTooLate; }
+  bool IsUsable() const { return !mQueueFull && !mMissesDeadline; }
 };
 
 /** Scores one candidate: the expected time first, then its price. */
--- a/src/routing/SharedLimit.cpp
+++ b/src/routing/SharedLimit.cpp
@@ -10,10 +10,10 @@
 /** Time over which demand is averaged. */
 constexpr double kDemandMicros = 2e6;
 constexpr double kMicrosPerSecond = 1e6;
-constexpr std::size_t kMaxParts = 64;
+constexpr std::size_t kMaxShares = 64;
 
 settings::Limits
-Least(const settings::Limits& aLeft, const settings::Limits& aRight)
+Min(const settings::Limits& aLeft, const settings::Limits& aRight)
 {
   return { .mRatePerSecond =
              std::min(aLeft.mRatePerSecond, aRight.mRatePerSecond),
@@ -24,7 +24,7 @@
 
 SharedLimit::SharedLimit(const settings::Limits& aShare)
   : mInForce(aShare)
-  , mParts{ { TimePoint::min(), aShare } }
+  , mShares{ { TimePoint::min(), aShare } }
   , mBucket(aShare.mRatePerSecond)
 {
 }
@@ -33,26 +33,26 @@
 SharedLimit::SetShare(const settings::Limits& aShare, TimePoint aNow)
 {
   // Too many parts for the window: the oldest two count as the lesser.
-  if (mParts.size() == kMaxParts) {
-    mParts[1].mLimits = Least(mParts[0].mLimits, mParts[1].mLimits);
-    mParts.pop_front();
+  if (mShares.size() == kMaxShares) {
+    mShares[1].mLimits = Min(mShares[0].mLimits, mShares[1].mLimits);
+    mShares.pop_front();
   }
-  mParts.push_back({ aNow, aShare });
-  Settle(aNow);
+  mShares.push_back({ aNow, aShare });
+  UpdateInForce(aNow);
 }
 
 void
-SharedLimit::Settle(TimePoint aNow)
+SharedLimit::UpdateInForce(TimePoint aNow)
 {
-  while (mParts.size() > 1 && mParts[1].mSince + kShareSettles <= aNow) {
-    mParts.pop_front();
+  while (mShares.size() > 1 && mShares[1].mSince + kShareSettleTime <= aNow) {
+    mShares.pop_front();
   }
-  settings::Limits least = mParts.front().mLimits;
-  for (const Part& part : mParts) {
-    least = Least(least, part.mLimits);
+  settings::Limits lowest = mShares.front().mLimits;
+  for (const Share& share : mShares) {
+    lowest = Min(lowest, share.mLimits);
   }
-  if (least != mInForce) {
-    mInForce = least;
+  if (lowest != mInForce) {
+    mInForce = lowest;
     mBucket.SetRate(mInForce.mRatePerSecond, aNow);
   }
 }
@@ -60,14 +60,14 @@
 const settings::Limits&
 SharedLimit::InForce(TimePoint aNow)
 {
-  Settle(aNow);
+  UpdateInForce(aNow);
   return mInForce;
 }
 
 std::optional<LimitReached>
-SharedLimit::Take(TimePoint aNow)
+SharedLimit::TryAcquire(TimePoint aNow)
 {
-  Settle(aNow);
+  UpdateInForce(aNow);
   CountDemand(aNow, 1);
   if (mInUse >= mInForce.mConcurrency) {
     return LimitReached::kConcurrency;
@@ -92,14 +92,14 @@
 }
 
 void
-SharedLimit::CountDemand(TimePoint aNow, double aAsked)
+SharedLimit::CountDemand(TimePoint aNow, double aRequests)
 {
   if (mDemandAt != TimePoint::min()) {
     const auto passed = static_cast<double>((aNow - mDemandAt).count());
     mDemand *= std::exp(-passed / kDemandMicros);
   }
   mDemandAt = aNow;
-  mDemand += aAsked * kMicrosPerSecond / kDemandMicros;
+  mDemand += aRequests * kMicrosPerSecond / kDemandMicros;
 }
 
 double
--- a/src/routing/Upstream.h
+++ b/src/routing/Upstream.h
@@ -11,7 +11,7 @@
 namespace peridotspool::routing {
 
 /** What a decision reads of one upstream: small, so that many stay cached. */
-struct UpstreamFigures
+struct UpstreamStats
 {
   /** When the announcement's lease ends. */
   TimePoint mExpires;
@@ -40,7 +40,7 @@
   /** A leaving upstream stays leaving until it has a new incarnation. */
   bool mLeaving = false;
   /** Place in its service's list of serving upstreams, or kNotServing. */
-  std::uint32_t mServingAt = kNotServing;
+  std::uint32_t mServingIndex = kNotServing;
   /** When it is forgotten, with all that is known of its incarnations. */
   TimePoint mForgetAt;
   std::uint64_t mCacheSequence = 0;
--- a/src/routing/UpstreamTable.cpp
+++ b/src/routing/UpstreamTable.cpp
@@ -10,16 +10,16 @@
 /**
  * What this entry sent since a report stands for what the others sent too. The
  * true factor is their number, but one entry's few sends are a noisy measure
- * of it; the queue model's figures are best at two to three.
+ * of it; the queue model's stats are best at two to three.
  */
-constexpr double kOwnWeight = 2;
+constexpr double kOwnSendWeight = 2;
 /** Weight of the newest request in the mean times. */
-constexpr double kLearnRate = 0.1;
+constexpr double kEwmaWeight = 0.1;
 
 double
 Mean(double aMean, double aNewest)
 {
-  return aMean == 0 ? aNewest : aMean + kLearnRate * (aNewest - aMean);
+  return aMean == 0 ? aNewest : aMean + kEwmaWeight * (aNewest - aMean);
 }
 
 } // namespace
@@ -42,7 +42,7 @@
   if (added && mFree.empty()) {
     found->second = static_cast<UpstreamIndex>(mDetails.size());
     mDetails.emplace_back();
-    mFigures.emplace_back();
+    mStats.emplace_back();
   } else if (added) {
     found->second = mFree.back();
     mFree.pop_back();
@@ -54,7 +54,7 @@
 }
 
 bool
-UpstreamTable::IsNews(const UpstreamAnnouncement& aAnnouncement) const
+UpstreamTable::IsNewer(const UpstreamAnnouncement& aAnnouncement) const
 {
   const auto found = mByName.find(aAnnouncement.mName);
   if (found == mByName.end()) {
@@ -71,29 +71,30 @@
 {
   Ejection& ejection = mDetails[aIndex].mEjection;
   if (ejection.IsEjected()) {
-    ejection.Return(mOptions.mEjection);
+    ejection.Readmit(mOptions.mEjection);
     --PoolOf(aIndex).mEjected;
   }
 }
 
-std::optional<AnnouncementTaken>
+std::optional<AnnouncementResult>
 UpstreamTable::Announce(const UpstreamAnnouncement& aAnnouncement,
                         TimePoint aNow)
 {
-  if (!IsNews(aAnnouncement)) {
+  if (!IsNewer(aAnnouncement)) {
     return std::nullopt;
   }
   const UpstreamIndex index = IndexOf(aAnnouncement);
   UpstreamDetail& detail = mDetails[index];
-  const bool newLife =
+  const bool newIncarnation =
     aAnnouncement.mIncarnation > detail.mAnnouncement.mIncarnation;
-  if (newLife || aAnnouncement.mService != detail.mAnnouncement.mService) {
+  if (newIncarnation ||
+      aAnnouncement.mService != detail.mAnnouncement.mService) {
     StopServing(index);
     EndEjection(index);
   }
-  if (newLife) {
+  if (newIncarnation) {
     detail = UpstreamDetail();
-    mFigures[index] = UpstreamFigures();
+    mStats[index] = UpstreamStats();
   }
   // An upstream that has said it leaves is sure to go. News of the same life
   // that says otherwise was sent before, or by mistake; taking it would give
@@ -103,35 +104,38 @@
   detail.mAnnouncement = aAnnouncement;
   detail.mAnnouncement.mState =
     detail.mLeaving ? UpstreamState::kLeaving : UpstreamState::kServing;
-  TakeFigures(index, aNow);
+  UpdateStats(index, aNow);
   UpdateServing(index, aNow);
-  return AnnouncementTaken{ .mIndex = index, .mNewLife = newLife };
+  return AnnouncementResult{ .mIndex = index,
+                             .mNewIncarnation = newIncarnation };
 }
 
 void
 UpstreamTable::UpdateLoad(UpstreamIndex aIndex)
 {
-  const double weight = mOptions.mOthersSend ? kOwnWeight : 1;
-  mFigures[aIndex].mLoad =
+  const double weight = mOptions.mOtherEntriesSend ? kOwnSendWeight : 1;
+  mStats[aIndex].mLoad =
     static_cast<float>(mDetails[aIndex].mLoad.Load(weight));
 }
 
 void
-UpstreamTable::TakeFigures(UpstreamIndex aIndex, TimePoint aNow)
+UpstreamTable::UpdateStats(UpstreamIndex aIndex, TimePoint aNow)
 {
   UpstreamDetail& detail = mDetails[aIndex];
-  const UpstreamAnnouncement& news = detail.mAnnouncement;
-  UpstreamFigures& figures = mFigures[aIndex];
-  figures.mExpires = aNow + std::min(news.mLease, mOptions.mMaxLease);
-  detail.mForgetAt = figures.mExpires + mOptions.mForgetAfter;
-  detail.mLoad.Report(news.mRunning + news.mWaiting, aNow - news.mLoadAge);
+  const UpstreamAnnouncement& announcement = detail.mAnnouncement;
+  UpstreamStats& stats = mStats[aIndex];
+  stats.mExpires = aNow + std::min(announcement.mLease, mOptions.mMaxLease);
+  detail.mForgetAt = stats.mExpires + mOptions.mForgetAfter;
+  detail.mLoad.Report(announcement.mRunning + announcement.mWaiting,
+                      aNow - announcement.mLoadAge);
   UpdateLoad(aIndex);
-  figures.mSlots = std::max<std::uint32_t>(1, news.mSlots);
-  figures.mFirstTokenMicros = static_cast<float>(news.mFirstToken.count());
-  figures.mPrice = static_cast<float>(
-    static_cast<double>(news.mPriceMicrosPerHour) / kMicrosPerUnit);
+  stats.mSlots = std::max<std::uint32_t>(1, announcement.mSlots);
+  stats.mFirstTokenMicros =
+    static_cast<float>(announcement.mFirstToken.count());
+  stats.mPrice = static_cast<float>(
+    static_cast<double>(announcement.mPriceMicrosPerHour) / kMicrosPerUnit);
   ServicePool& pool = PoolOf(aIndex);
-  pool.mHighestPrice = std::max<double>(pool.mHighestPrice, figures.mPrice);
+  pool.mHighestPrice = std::max<double>(pool.mHighestPrice, stats.mPrice);
 }
 
 void
@@ -139,12 +143,12 @@
 {
   UpstreamDetail& detail = mDetails[aIndex];
   const bool serves = !detail.mLeaving && !detail.mEjection.IsEjected() &&
-                      aNow < mFigures[aIndex].mExpires;
+                      aNow < mStats[aIndex].mExpires;
   if (!serves) {
     StopServing(aIndex);
-  } else if (detail.mServingAt == kNotServing) {
+  } else if (detail.mServingIndex == kNotServing) {
     std::vector<UpstreamIndex>& serving = PoolOf(aIndex).mServing;
-    detail.mServingAt = static_cast<std::uint32_t>(serving.size());
+    detail.mServingIndex = static_cast<std::uint32_t>(serving.size());
     serving.push_back(aIndex);
   }
 }
@@ -153,15 +157,15 @@
 UpstreamTable::StopServing(UpstreamIndex aIndex)
 {
   UpstreamDetail& detail = mDetails[aIndex];
-  if (detail.mServingAt == kNotServing) {
+  if (detail.mServingIndex == kNotServing) {
     return;
   }
   std::vector<UpstreamIndex>& serving = PoolOf(aIndex).mServing;
   const UpstreamIndex last = serving.back();
-  serving[detail.mServingAt] = last;
-  mDetails[last].mServingAt = detail.mServingAt;
+  serving[detail.mServingIndex] = last;
+  mDetails[last].mServingIndex = detail.mServingIndex;
   serving.pop_back();
-  detail.mServingAt = kNotServing;
+  detail.mServingIndex = kNotServing;
 }
 
 void
@@ -176,7 +180,7 @@
       EndEjection(index);
       UpdateServing(index, aNow);
     }
-    if (mFigures[index].mExpires <= aNow) {
+    if (mStats[index].mExpires <= aNow) {
       StopServing(index);
     }
     if (detail.mForgetAt <= aNow) {
@@ -192,7 +196,7 @@
   EndEjection(aIndex);
   mByName.erase(mDetails[aIndex].mAnnouncement.mName);
   mDetails[aIndex] = UpstreamDetail();
-  mFigures[aIndex] = UpstreamFigures();
+  mStats[aIndex] = UpstreamStats();
   mFree.push_back(aIndex);
 }
 
@@ -212,13 +216,13 @@
   if (detail.mLoad.Own() == 0) {
     return;
   }
-  const Duration took = detail.mLoad.Ended(aNow);
+  const Duration duration = detail.mLoad.Ended(aNow);
   UpdateLoad(aIndex);
   bool eject = false;
   if (aEnd == AttemptEnd::kCompleted) {
     const Duration mean(static_cast<Duration::rep>(PoolOf(aIndex).mHoldMicros));
-    eject = detail.mEjection.OnCompleted(took, mean, mOptions.mEjection);
-    Learn(aIndex, took, aNow);
+    eject = detail.mEjection.OnCompleted(duration, mean, mOptions.mEjection);
+    RecordHoldTime(aIndex, duration, aNow);
   } else if (aEnd != AttemptEnd::kCancelled) {
     eject = detail.mEjection.OnFailure(mOptions.mEjection);
   }
@@ -228,15 +232,17 @@
 }
 
 void
-UpstreamTable::Learn(UpstreamIndex aIndex, Duration aTook, TimePoint aNow)
+UpstreamTable::RecordHoldTime(UpstreamIndex aIndex,
+                              Duration aDuration,
+                              TimePoint aNow)
 {
-  const auto took = static_cast<double>(aTook.count());
-  UpstreamFigures& figures = mFigures[aIndex];
-  const double mean = aNow < figures.mHoldExpires ? figures.mHoldMicros : 0;
-  figures.mHoldMicros = static_cast<float>(Mean(mean, took));
-  figures.mHoldExpires = aNow + mOptions.mHoldAge;
+  const auto duration = static_cast<double>(aDuration.count());
+  UpstreamStats& stats = mStats[aIndex];
+  const double mean = aNow < stats.mHoldExpires ? stats.mHoldMicros : 0;
+  stats.mHoldMicros = static_cast<float>(Mean(mean, duration));
+  stats.mHoldExpires = aNow + mOptions.mHoldTimeMaxAge;
   ServicePool& pool = PoolOf(aIndex);
-  pool.mHoldMicros = Mean(pool.mHoldMicros, took);
+  pool.mHoldMicros = Mean(pool.mHoldMicros, duration);
 }
 
 /**
@@ -284,7 +290,7 @@
 {
   std::vector<UpstreamAnnouncement> present;
   for (const auto& [name, index] : mByName) {
-    if (aNow < mFigures[index].mExpires) {
+    if (aNow < mStats[index].mExpires) {
       present.push_back(mDetails[index].mAnnouncement);
     }
   }
--- a/src/routing/UpstreamTable.h
+++ b/src/routing/UpstreamTable.h
@@ -22,10 +22,10 @@
 };
 
 /** What an announcement changed. */
-struct AnnouncementTaken
+struct AnnouncementResult
 {
   UpstreamIndex mIndex = 0;
-  bool mNewLife = false;
+  bool mNewIncarnation = false;
 };
 
 /**
@@ -38,7 +38,7 @@
   explicit UpstreamTable(const RouterOptions& aOptions);
 
   /** Empty iff the announcement is not newer than what is known. */
-  std::optional<AnnouncementTaken> Announce(
+  std::optional<AnnouncementResult> Announce(
     const UpstreamAnnouncement& aAnnouncement,
     TimePoint aNow);
 
@@ -49,11 +49,11 @@
 
   std::optional<UpstreamIndex> Find(const UpstreamName& aName) const;
   const ServicePool* Pool(const ServiceName& aService) const;
-  const UpstreamFigures& Figures(UpstreamIndex aIndex) const
+  const UpstreamStats& Stats(UpstreamIndex aIndex) const
   {
-    return mFigures[aIndex];
+    return mStats[aIndex];
   }
-  UpstreamFigures& Figures(UpstreamIndex aIndex) { return mFigures[aIndex]; }
+  UpstreamStats& Stats(UpstreamIndex aIndex) { return mStats[aIndex]; }
   const UpstreamDetail& Detail(UpstreamIndex aIndex) const
   {
     return mDetails[aIndex];
@@ -64,21 +64,21 @@
 
 private:
   /** Returns true iff it is newer than what is known of its upstream. */
-  bool IsNews(const UpstreamAnnouncement& aAnnouncement) const;
+  bool IsNewer(const UpstreamAnnouncement& aAnnouncement) const;
   UpstreamIndex IndexOf(const UpstreamAnnouncement& aAnnouncement);
   /** Reckons the upstream's load anew. */
   void UpdateLoad(UpstreamIndex aIndex);
-  void TakeFigures(UpstreamIndex aIndex, TimePoint aNow);
+  void UpdateStats(UpstreamIndex aIndex, TimePoint aNow);
   void UpdateServing(UpstreamIndex aIndex, TimePoint aNow);
   void StopServing(UpstreamIndex aIndex);
-  void Learn(UpstreamIndex aIndex, Duration aTook, TimePoint aNow);
+  void RecordHoldTime(UpstreamIndex aIndex, Duration aDuration, TimePoint aNow);
   void TryEject(UpstreamIndex aIndex, TimePoint aNow);
   void EndEjection(UpstreamIndex aIndex);
   void Forget(UpstreamIndex aIndex);
   ServicePool& PoolOf(UpstreamIndex aIndex);
 
   const RouterOptions& mOptions;
-  std::vector<UpstreamFigures> mFigures;
+  std::vector<UpstreamStats> mStats;
   std::vector<UpstreamDetail> mDetails;
   std::vector<UpstreamIndex> mFree;
   std::unordered_map<UpstreamName, UpstreamIndex> mByName;
--- a/src/runtime/DutyRunner.cpp
+++ b/src/runtime/DutyRunner.cpp
@@ -93,16 +93,16 @@
       },
       [&](const gateway::QuotaAsk& aAsk) { TakeAsk(aFrom, aAsk, aNode, aNow); },
       [&](const routing::CrashReport& aReport) {
-        mTell(aFrom, mQuarantine.Take(aFrom, aReport, table, aNow));
+        mTell(aFrom, mQuarantine.HandleReport(aFrom, aReport, table, aNow));
       },
-      [&](const routing::TurnAsk& aAsk) {
-        mTell(aFrom, mQuarantine.Take(aFrom, aAsk, table, aNow));
+      [&](const routing::PermitRequest& aAsk) {
+        mTell(aFrom, mQuarantine.HandlePermitRequest(aFrom, aAsk, table, aNow));
       },
       [&](const rollout::RolloutReport& aReport) {
         TakeReport(aFrom, aReport, aNode, aNow);
       },
-      [&](const routing::TurnEnded& aEnded) {
-        mQuarantine.Take(aFrom, aEnded, aNow);
+      [&](const routing::RunEnded& aEnded) {
+        mQuarantine.HandleRunEnded(aFrom, aEnded, aNow);
       },
       [](const auto&) {} },
     aMessage);
@@ -150,7 +150,7 @@
     mTell(aFrom, gateway::CommonTime{ *micros });
   }
   for (const ContentId& content : aReport.mCameAgain) {
-    mQuarantine.CameAgain(content, aNow);
+    mQuarantine.RecordResubmission(content, aNow);
   }
   if (mBank.HasLimits()) {
     mTell(aFrom, mBank.Renew(aFrom, aReport.mQuotaLease, aNow));
@@ -172,7 +172,7 @@
                            const routing::QuarantineTable& aTable)
 {
   if (aHeard.mQuarantine != aTable.mNumber) {
-    mTell(aTo, aTable.Since(aHeard.mQuarantine));
+    mTell(aTo, aTable.UpdateSince(aHeard.mQuarantine));
     aHeard.mQuarantine = aTable.mNumber;
   }
 }
@@ -188,7 +188,7 @@
       TellQuarantine(address, heard, table);
     }
   }
-  auto changes = mQuarantine.Due(table, aNow);
+  auto changes = mQuarantine.PendingChanges(table, aNow);
   if (!changes.empty()) {
     std::for_each(changes.begin(), changes.end(), [&](const auto& aChange) {
       LogChange(aChange);
@@ -235,7 +235,7 @@
                                aNode.CurrentTerm().Value(),
                                aNode.State().mQuotaFloors,
                                aNow);
-    mQuarantine = routing::QuarantineBank(aNode.State().mQuarantine, aNow);
+    mQuarantine = routing::QuarantineManager(aNode.State().mQuarantine, aNow);
     mRollouts = rollout::RolloutController(mOptions.mRollout);
     mHeard.clear();
   }
@@ -288,7 +288,7 @@
     return;
   }
   mLimitsLoggedAt = aNow;
-  for (const gateway::QuotaFigures& one : mBank.TakeFigures()) {
+  for (const gateway::QuotaFigures& one : mBank.UpdateStats()) {
     mLogger.Log(observe::EventId::kLimitAccount,
                 { { "customer", one.mCustomer },
                   { "granted", one.mGranted },
--- a/src/runtime/DutyRunner.h
+++ b/src/runtime/DutyRunner.h
@@ -7,7 +7,7 @@
 #include "peridotspool/membership/UpstreamDirectory.h"
 #include "peridotspool/observe/Logger.h"
 #include "peridotspool/rollout/RolloutController.h"
-#include "peridotspool/routing/QuarantineBank.h"
+#include "peridotspool/routing/QuarantineManager.h"
 #include "peridotspool/runtime/ControlHostOptions.h"
 
 #include <functional>
@@ -116,7 +116,7 @@
   Tell mTell;
   fleet::DutyDesk mDesk;
   gateway::QuotaBank mBank;
-  routing::QuarantineBank mQuarantine;
+  routing::QuarantineManager mQuarantine;
   rollout::RolloutController mRollouts;
   /** The last start or end of a rollout that all entries were told of. */
   std::uint64_t mRolloutsTold = 0;
--- a/src/runtime/ExplainLog.cpp
+++ b/src/runtime/ExplainLog.cpp
@@ -25,7 +25,7 @@
 ChoiceJson(const request::ExplainEffect& aEffect)
 {
   json::array weighed;
-  for (const auto& score : aEffect.mChoice.mWeighed) {
+  for (const auto& score : aEffect.mChoice.mCandidateScores) {
     weighed.push_back(ScoreJson(score));
   }
   return json::object{ { "attempt", aEffect.mAttempt.Value() },
--- a/src/runtime/GatewayRelay.cpp
+++ b/src/runtime/GatewayRelay.cpp
@@ -235,7 +235,7 @@
   const bool toAll = ++mReports % kFollowersEach == 0;
   gateway::UsageReport report = mCore->mUsage.Report(ReadWallMicros());
   report.mRunning = mCore->mBoard.Running();
-  report.mQuarantine = mCore->mGate.Known();
+  report.mQuarantine = mCore->mGate.KnownNumber();
   report.mRollouts = mCore->mRollouts.Number();
   report.mQuotaLease = mCore->mQuota.Lease();
   const auto again = std::exchange(mCore->mCameAgain, {});
--- a/src/runtime/GatewayRelaySession.cpp
+++ b/src/runtime/GatewayRelaySession.cpp
@@ -118,7 +118,7 @@
   mLogger->Log(EventId::kControlRegained, { { "leader", ToText(aLeader) } });
   mLeader = aLeader;
   mLeaderHeardAt = ReadClock();
-  mCore->mCrashes.MeetLeader();
+  mCore->mCrashes.OnNewLeader();
   if (auto again = mCore->mQuota.AskAgain(); !again.mLines.empty()) {
     mCore->mTellLeader(std::move(again));
   }
@@ -148,9 +148,11 @@
         TellEntry(aFrom, mCore->mKeeper.Answer(aAsk, now));
       },
       [&](const gateway::LoadTold& aTold) { mCore->TakeTold(aTold); },
-      [&](const routing::CrashTaken& aTaken) { mCore->mCrashes.Take(aTaken); },
-      [&](const routing::TurnAnswer& aTurn) { mCore->TakeTurn(aTurn); },
-      [&](const routing::QuarantineTold& aTold) { mCore->TakeTold(aTold); },
+      [&](const routing::CrashReportAck& aTaken) {
+        mCore->mCrashes.OnAck(aTaken);
+      },
+      [&](const routing::PermitResponse& aTurn) { mCore->TakeTurn(aTurn); },
+      [&](const routing::QuarantineUpdate& aTold) { mCore->TakeTold(aTold); },
       [&](const rollout::RolloutUpdate& aUpdate) { mCore->Take(aUpdate); },
       [&](const gateway::LoadSent& aOne) { mCore->mKeeper.Take(aOne, now); },
       [&](const gateway::LoadBegun& aOne) { mCore->mKeeper.Take(aOne, now); },
--- a/test/gateway/ExchangeGateTest.cpp
+++ b/test/gateway/ExchangeGateTest.cpp
@@ -29,8 +29,8 @@
      QuarantineStage aStage)
 {
   aGateway.OnRelay([&] {
-    const std::uint64_t known = aGateway.Core().mGate.Known();
-    aGateway.Core().TakeTold(routing::QuarantineTold{
+    const std::uint64_t known = aGateway.Core().mGate.KnownNumber();
+    aGateway.Core().TakeTold(routing::QuarantineUpdate{
       .mFrom = known,
       .mTo = known + 1,
       .mLines = { { .mContent = aContent, .mStage = aStage } } });
@@ -82,14 +82,14 @@
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "suspect"));
   REQUIRE(Eventually(
-    [&] { return LastTold<routing::TurnAsk>(gateway).has_value(); }));
-  const auto ask = *LastTold<routing::TurnAsk>(gateway);
+    [&] { return LastTold<routing::PermitRequest>(gateway).has_value(); }));
+  const auto ask = *LastTold<routing::PermitRequest>(gateway);
   CHECK(ask.mContent == content);
   CHECK(upstream.Requests().empty());
   gateway.OnRelay([&] { gateway.Core().TakeTurn({ ask.mTag, true }); });
   CHECK(caller.ReadAnswer().ends_with("answer"));
-  CHECK(LastTold<routing::TurnEnded>(gateway) ==
-        routing::TurnEnded{ content, ask.mTag, true });
+  CHECK(LastTold<routing::RunEnded>(gateway) ==
+        routing::RunEnded{ content, ask.mTag, true });
 }
 
 TEST_CASE("WhatWaitsForATurnInVainHasNotRun")
--- a/test/gateway/ExchangeStartTest.cpp
+++ b/test/gateway/ExchangeStartTest.cpp
@@ -52,7 +52,7 @@
   });
   CHECK(upstream.Requests().empty());
   gateway.OnRelay([&] {
-    gateway.Core().TakeTold(routing::QuarantineTold{ .mFrom = 0, .mTo = 1 });
+    gateway.Core().TakeTold(routing::QuarantineUpdate{ .mFrom = 0, .mTo = 1 });
   });
   CHECK(upstream.Requests().empty());
   gateway.OnRelay([&] {
--- a/test/request/ServiceDeskTest.cpp
+++ b/test/request/ServiceDeskTest.cpp
@@ -47,7 +47,7 @@
   desk.TakeSettings(TreeWithLimits("100/s", "100"));
   desk.TakeMembers({ MemberId(1), MemberId(2) });
   REQUIRE(std::holds_alternative<routing::Admitted>(Ask(desk, "a")));
-  desk.TakeDemand(MemberId(2), kService, { { kLarge, 50.0 } }, kNow);
+  desk.SetPublishedDemand(MemberId(2), kService, { { kLarge, 50.0 } }, kNow);
   const TimePoint later = kNow + std::chrono::seconds(10);
   CHECK(std::holds_alternative<routing::Admitted>(Ask(desk, "b", later)));
 }
--- a/test/routing/AdmissionTest.cpp
+++ b/test/routing/AdmissionTest.cpp
@@ -46,35 +46,35 @@
   const auto settings = Settings(10, 100);
   for (int at = 0; at < 10; ++at) {
     CHECK(std::holds_alternative<Admitted>(
-      admission.Ask(Query(), settings, kStart)));
+      admission.Admit(Query(), settings, kStart)));
   }
-  const auto refused = admission.Ask(Query(), settings, kStart);
+  const auto refused = admission.Admit(Query(), settings, kStart);
   CHECK(Reason(refused) == AdmissionReason::kRateLimit);
   const Duration after = std::get<Refused>(refused).mRetryAfter;
   CHECK(after == milliseconds(100));
   CHECK(std::holds_alternative<Admitted>(
-    admission.Ask(Query(), settings, kStart + after)));
+    admission.Admit(Query(), settings, kStart + after)));
 }
 
 TEST_CASE("ConcurrencyIsGivenBackWhenRequestsEnd")
 {
   Admission admission({}, MemberId(1));
   const auto settings = Settings(1000, 2);
-  admission.Ask(Query(), settings, kStart);
-  admission.Ask(Query(), settings, kStart);
-  CHECK(Reason(admission.Ask(Query(), settings, kStart)) ==
+  admission.Admit(Query(), settings, kStart);
+  admission.Admit(Query(), settings, kStart);
+  CHECK(Reason(admission.Admit(Query(), settings, kStart)) ==
         AdmissionReason::kConcurrencyLimit);
   admission.Ended(CustomerName("c"), milliseconds(10));
-  CHECK_FALSE(Reason(admission.Ask(Query(), settings, kStart)));
+  CHECK_FALSE(Reason(admission.Admit(Query(), settings, kStart)));
 }
 
 TEST_CASE("RequestsWaitForARunningPlaceInTurn")
 {
   Admission admission({ .mMaxRunning = 1 }, MemberId(1));
   const auto settings = Settings(1000, 100);
-  admission.Ask(Query(), settings, kStart);
+  admission.Admit(Query(), settings, kStart);
   CHECK(
-    std::holds_alternative<Queued>(admission.Ask(Query(), settings, kStart)));
+    std::holds_alternative<Queued>(admission.Admit(Query(), settings, kStart)));
   CHECK_FALSE(admission.Next());
   admission.Ended(CustomerName("c"), milliseconds(10));
   CHECK(admission.Next().has_value());
@@ -88,16 +88,16 @@
 // Cause: the deadline is only looked at when the request's turn comes.
 TEST_CASE("RequestThatCannotMeetItsDeadlineIsRefusedWhenItAsks")
 {
-  Admission admission({ .mMaxRunning = 1, .mFirstHold = milliseconds(500) },
-                      MemberId(1));
+  Admission admission(
+    { .mMaxRunning = 1, .mInitialHoldTime = milliseconds(500) }, MemberId(1));
   const auto settings = Settings(1000, 1000);
   for (int at = 0; at < 11; ++at) {
-    CHECK_FALSE(Reason(admission.Ask(Query(), settings, kStart)));
+    CHECK_FALSE(Reason(admission.Admit(Query(), settings, kStart)));
   }
-  const auto refused = admission.Ask(Query(seconds(5)), settings, kStart);
+  const auto refused = admission.Admit(Query(seconds(5)), settings, kStart);
   CHECK(Reason(refused) == AdmissionReason::kDeadlineTooNear);
   CHECK(admission.Waiting() == 10);
-  CHECK_FALSE(Reason(admission.Ask(Query(seconds(6)), settings, kStart)));
+  CHECK_FALSE(Reason(admission.Admit(Query(seconds(6)), settings, kStart)));
 }
 
 TEST_CASE("RefusedRequestsLeaveNothingBehind")
@@ -106,17 +106,17 @@
                       MemberId(1));
   const auto settings = Settings(1000, 1000);
   for (int at = 0; at < 4; ++at) {
-    CHECK_FALSE(Reason(admission.Ask(Query(), settings, kStart)));
+    CHECK_FALSE(Reason(admission.Admit(Query(), settings, kStart)));
   }
   for (int at = 0; at < 5; ++at) {
-    CHECK(Reason(admission.Ask(Query(), settings, kStart)) ==
+    CHECK(Reason(admission.Admit(Query(), settings, kStart)) ==
           AdmissionReason::kQueueFull);
   }
-  CHECK(admission.Late(kStart + seconds(61)).size() == 3);
+  CHECK(admission.TakeExpired(kStart + seconds(61)).size() == 3);
   admission.Ended(CustomerName("c"), milliseconds(1));
   CHECK(admission.Running() == 0);
   const auto concurrent = Settings(1000, 1);
-  CHECK_FALSE(Reason(admission.Ask(Query(), concurrent, kStart)));
+  CHECK_FALSE(Reason(admission.Admit(Query(), concurrent, kStart)));
 }
 
 TEST_CASE("PartsOfALimitSumToTheLimit")
@@ -172,7 +172,7 @@
   SharedLimit second(LimitShare(limits, before, MemberId(2)));
   const auto take = [](SharedLimit& aLimit, TimePoint aNow) {
     std::uint64_t taken = 0;
-    while (!aLimit.Take(aNow)) {
+    while (!aLimit.TryAcquire(aNow)) {
       ++taken;
     }
     return taken;
@@ -197,7 +197,7 @@
   Admission admission({}, MemberId(1));
   const auto admitted = [&](const settings::EffectiveService& aSettings) {
     int count = 0;
-    while (!Reason(admission.Ask(Query(), aSettings, kStart))) {
+    while (!Reason(admission.Admit(Query(), aSettings, kStart))) {
       ++count;
     }
     for (int at = 0; at < count; ++at) {
@@ -244,14 +244,14 @@
       views[member] = none;
       parts.emplace(member, SharedLimit(LimitShare(limits, none, member)));
     }
-    struct News
+    struct DemandUpdate
     {
       TimePoint mAt;
       MemberId mTo;
       MemberId mFrom;
       double mDemand;
     };
-    std::vector<News> news;
+    std::vector<DemandUpdate> updates;
     std::map<MemberId, milliseconds> phases;
     for (const auto& [member, unused] : none) {
       phases[member] = milliseconds(*rc::gen::inRange(0, 1000));
@@ -261,18 +261,19 @@
         const double demand = *rc::gen::element(0, 0, 10, 100);
         for (const auto& [to, alsoUnused] : none) {
           const milliseconds late(to == from ? 0 : *rc::gen::inRange(0, 1000));
-          news.push_back({ kStart + seconds(second) + phases[from] + late,
-                           to,
-                           from,
-                           demand });
+          updates.push_back({ kStart + seconds(second) + phases[from] + late,
+                              to,
+                              from,
+                              demand });
         }
       }
     }
-    std::stable_sort(
-      news.begin(), news.end(), [](const News& aLeft, const News& aRight) {
-        return aLeft.mAt < aRight.mAt;
-      });
-    for (const News& one : news) {
+    std::stable_sort(updates.begin(),
+                     updates.end(),
+                     [](const DemandUpdate& aLeft, const DemandUpdate& aRight) {
+                       return aLeft.mAt < aRight.mAt;
+                     });
+    for (const DemandUpdate& one : updates) {
       views[one.mTo][one.mFrom] = one.mDemand;
       parts.at(one.mTo).SetShare(LimitShare(limits, views[one.mTo], one.mTo),
                                  one.mAt);
--- a/test/routing/SpreadTargetsTest.cpp
+++ b/test/routing/AnnouncementTargetsTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: unit
-#include "peridotspool/routing/SpreadTargets.h"
+#include "peridotspool/routing/AnnouncementTargets.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -23,8 +23,8 @@
 
 TEST_CASE("SmallSystemTellsEveryEntry")
 {
-  CHECK(SpreadTargets(UpstreamName("u1"), Members(11)) == Members(11));
-  CHECK(SpreadTargets(UpstreamName("u1"), {}).empty());
+  CHECK(AnnouncementTargets(UpstreamName("u1"), Members(11)) == Members(11));
+  CHECK(AnnouncementTargets(UpstreamName("u1"), {}).empty());
 }
 
 TEST_CASE("LargeSystemTellsSixteenEntriesAndSpreadsEvenly")
@@ -32,8 +32,8 @@
   std::map<MemberId, int> told;
   for (int at = 0; at < 3000; ++at) {
     const auto targets =
-      SpreadTargets(UpstreamName("u" + std::to_string(at)), Members(380));
-    REQUIRE(targets.size() == kSpreadTargets);
+      AnnouncementTargets(UpstreamName("u" + std::to_string(at)), Members(380));
+    REQUIRE(targets.size() == kMaxAnnouncementTargets);
     for (const MemberId target : targets) {
       ++told[target];
     }
@@ -48,8 +48,8 @@
 TEST_CASE("OneMemberMoreOrLessChangesAtMostOneTarget")
 {
   const UpstreamName upstream("u1");
-  const auto before = SpreadTargets(upstream, Members(100));
-  const auto after = SpreadTargets(upstream, Members(101));
+  const auto before = AnnouncementTargets(upstream, Members(100));
+  const auto after = AnnouncementTargets(upstream, Members(101));
   std::vector<MemberId> added;
   std::set_difference(after.begin(),
                       after.end(),
--- /dev/null
+++ b/test/routing/CrashDetectorTest.cpp
@@ -0,0 +1,107 @@
+// ctest-labels: unit
+#include "peridotspool/routing/CrashDetector.h"
+
+#include <catch2/catch.hpp>
+
+namespace peridotspool::routing {
+
+namespace {
+
+const UpstreamIncarnation kIncarnation{ .mName = UpstreamName("u1"),
+                                        .mIncarnation = Incarnation(7) };
+const Address kAddress{ "127.0.0.1", 9000 };
+
+TimePoint
+At(int aMs)
+{
+  return TimePoint(std::chrono::seconds(1000) + std::chrono::milliseconds(aMs));
+}
+
+LostResponse
+Lost(std::uint64_t aContent, int aMs)
+{
+  return { .mContent = { .mLow = aContent },
+           .mSentAt = At(aMs - 50),
+           .mLostAt = At(aMs) };
+}
+
+} // namespace
+
+TEST_CASE("ALostAnswerAloneShowsNoEnd")
+{
+  CrashDetector detector;
+  CHECK(detector.Lost(kIncarnation, kAddress, Lost(1, 0)) == std::nullopt);
+}
+
+TEST_CASE("ALifeIsProbedOnceForAllAnswersThatItLost")
+{
+  CrashDetector detector;
+  CHECK_FALSE(detector.ShouldProbe(kIncarnation));
+  detector.Lost(kIncarnation, kAddress, Lost(1, 0));
+  CHECK(detector.ShouldProbe(kIncarnation));
+  detector.Lost(kIncarnation, kAddress, Lost(2, 1));
+  CHECK_FALSE(detector.ShouldProbe(kIncarnation));
+}
+
+TEST_CASE("ARefusedConnectionShowsTheEndWithAllThatWasLost")
+{
+  CrashDetector detector;
+  detector.Lost(kIncarnation, kAddress, Lost(1, 0));
+  detector.Lost(kIncarnation, kAddress, Lost(2, 1));
+  const auto crash = detector.Refused(kIncarnation, At(3));
+  REQUIRE(crash.has_value());
+  CHECK(crash->mUpstream == kIncarnation);
+  CHECK(crash->mLost == std::vector{ Lost(1, 0), Lost(2, 1) });
+  CHECK(detector.Refused(kIncarnation, At(4)) == std::nullopt);
+}
+
+TEST_CASE("WhatAnEndedLifeLosesLaterIsKnownAtOnce")
+{
+  CrashDetector detector;
+  CHECK(detector.Refused(kIncarnation, At(0)) == std::nullopt);
+  const auto crash = detector.Lost(kIncarnation, kAddress, Lost(1, 5));
+  REQUIRE(crash.has_value());
+  CHECK(crash->mLost == std::vector{ Lost(1, 5) });
+}
+
+TEST_CASE("AnUpstreamThatGoesOnHasNotEnded")
+{
+  CrashDetector detector;
+  detector.Lost(kIncarnation, kAddress, Lost(1, 0));
+  detector.Accepted(kIncarnation);
+  CHECK(detector.Refused(kIncarnation, At(3000)) == std::nullopt);
+}
+
+TEST_CASE("TheNextLifeAtAnAddressShowsTheEndOfTheOneBefore")
+{
+  CrashDetector detector;
+  detector.Lost(kIncarnation, kAddress, Lost(1, 0));
+  const Address other{ "127.0.0.2", 9000 };
+  const UpstreamIncarnation next{ .mName = UpstreamName("u2") };
+  CHECK(detector.Announced(next, other, At(100)).empty());
+  CHECK(detector.Announced(kIncarnation, kAddress, At(100)).empty());
+  SECTION("under another name")
+  {
+    const auto crash = detector.Announced(next, kAddress, At(200));
+    REQUIRE(crash.size() == 1);
+    CHECK(crash[0].mUpstream == kIncarnation);
+    CHECK(crash[0].mCrashEvidence == CrashEvidence::kNewIncarnation);
+  }
+  SECTION("under the same name")
+  {
+    const UpstreamIncarnation again{ .mName = kIncarnation.mName,
+                                     .mIncarnation =
+                                       kIncarnation.mIncarnation.Next() };
+    CHECK(detector.Announced(again, kAddress, At(200)).size() == 1);
+  }
+}
+
+TEST_CASE("AQuestionThatNobodyAnswersIsForgotten")
+{
+  CrashDetector detector;
+  detector.Lost(kIncarnation, kAddress, Lost(1, 0));
+  detector.Forget(At(15000));
+  CHECK(detector.Refused(kIncarnation, At(15001)) == std::nullopt);
+}
+
+} // namespace peridotspool::routing
--- a/test/routing/CrashReporterTest.cpp
+++ b/test/routing/CrashReporterTest.cpp
@@ -13,17 +13,17 @@
   return TimePoint(std::chrono::seconds(1000) + std::chrono::milliseconds(aMs));
 }
 
-EndedLife
-Ended(std::size_t aLost)
+UpstreamCrash
+CrashWithLost(std::size_t aLost)
 {
-  EndedLife ended{ .mLife = { .mName = UpstreamName("u") } };
+  UpstreamCrash crash{ .mUpstream = { .mName = UpstreamName("u") } };
   for (std::size_t i = 0; i < aLost; ++i) {
-    ended.mLost.push_back({ .mContent = { .mLow = i },
+    crash.mLost.push_back({ .mContent = { .mLow = i },
                             .mSentAt = At(0),
                             .mLostAt = At(50),
-                            .mHadTurn = i == 0 });
+                            .mHadPermit = i == 0 });
   }
-  return ended;
+  return crash;
 }
 
 } // namespace
@@ -32,46 +32,46 @@
 {
   CrashReporter reporter;
   CHECK(reporter.Report(At(60)) == std::nullopt);
-  reporter.Add(Ended(1));
+  reporter.Add(CrashWithLost(1));
   const auto report = reporter.Report(At(60));
   REQUIRE(report.has_value());
   REQUIRE(report->mLines.size() == 1);
   CHECK(report->mLines[0].mUpstream == UpstreamName("u"));
   CHECK(report->mLines[0].mSentAgoMs == 60);
   CHECK(report->mLines[0].mLostAgoMs == 10);
-  CHECK(report->mLines[0].mHadTurn);
+  CHECK(report->mLines[0].mHadPermit);
 }
 
 TEST_CASE("ItIsToldAgainUntilTheLeaderHasIt")
 {
   CrashReporter reporter;
-  reporter.Add(Ended(1));
+  reporter.Add(CrashWithLost(1));
   reporter.Report(At(60));
   CHECK(reporter.Report(At(200)) == std::nullopt);
   const auto again = reporter.Report(At(400));
   REQUIRE(again.has_value());
-  reporter.Take({ .mNumber = again->mNumber });
+  reporter.OnAck({ .mNumber = again->mNumber });
   CHECK(reporter.Report(At(800)) == std::nullopt);
 }
 
 TEST_CASE("EachLeaderIsToldEverything")
 {
   CrashReporter reporter;
-  reporter.Add(Ended(1));
-  reporter.Take({ .mNumber = reporter.Report(At(60))->mNumber });
-  reporter.MeetLeader();
+  reporter.Add(CrashWithLost(1));
+  reporter.OnAck({ .mNumber = reporter.Report(At(60))->mNumber });
+  reporter.OnNewLeader();
   CHECK(reporter.Report(At(70)).has_value());
 }
 
 TEST_CASE("ManyLinesGoInSeveralReports")
 {
   CrashReporter reporter;
-  reporter.Add(Ended(100));
+  reporter.Add(CrashWithLost(100));
   std::size_t lines = 0;
   while (const auto report = reporter.Report(At(60))) {
     lines += report->mLines.size();
     CHECK(report->mLines.size() <= 64);
-    reporter.Take({ .mNumber = report->mNumber });
+    reporter.OnAck({ .mNumber = report->mNumber });
   }
   CHECK(lines == 100);
 }
@@ -79,7 +79,7 @@
 TEST_CASE("WhatIsTooOldIsForgotten")
 {
   CrashReporter reporter;
-  reporter.Add(Ended(1));
+  reporter.Add(CrashWithLost(1));
   reporter.Forget(At(700000));
   CHECK(reporter.Report(At(700000)) == std::nullopt);
 }
--- a/test/routing/FairQueueTest.cpp
+++ b/test/routing/FairQueueTest.cpp
@@ -208,7 +208,7 @@
   late.mDeadline = TimePoint(std::chrono::seconds(1));
   queue.Push(late);
   queue.Push(Request("a"));
-  CHECK(queue.TakeLate(TimePoint(std::chrono::seconds(2))).size() == 1);
+  CHECK(queue.TakeExpired(TimePoint(std::chrono::seconds(2))).size() == 1);
   CHECK(queue.Size() == 1);
   CHECK(queue.Pop().has_value());
   CHECK_FALSE(queue.Pop().has_value());
--- a/test/routing/PrefixAffinityTest.cpp
+++ b/test/routing/PrefixAffinityTest.cpp
@@ -52,7 +52,7 @@
     NoRoute whyNot = NoRoute::kNoUpstream;
     const auto choice = mRouter.Choose(aQuery, kStart, whyNot);
     REQUIRE(choice.has_value());
-    for (const CandidateScore& weighed : choice->mWeighed) {
+    for (const CandidateScore& weighed : choice->mCandidateScores) {
       if (weighed.mUpstream == UpstreamName("u7")) {
         return weighed.mCachedTokens;
       }
--- a/test/routing/QuarantineGateTest.cpp
+++ b/test/routing/QuarantineGateTest.cpp
@@ -16,8 +16,8 @@
   return TimePoint(std::chrono::seconds(1000) + std::chrono::milliseconds(aMs));
 }
 
-QuarantineTold
-Told(std::uint64_t aFrom, std::uint64_t aTo, QuarantineStage aStage)
+QuarantineUpdate
+Update(std::uint64_t aFrom, std::uint64_t aTo, QuarantineStage aStage)
 {
   return { .mFrom = aFrom,
            .mTo = aTo,
@@ -25,10 +25,10 @@
 }
 
 QuarantineGate
-SlowingGate()
+GateWithOneAtATime()
 {
   QuarantineGate gate;
-  gate.Take(Told(0, 2, QuarantineStage::kOneAtATime), At(0));
+  gate.ApplyUpdate(Update(0, 2, QuarantineStage::kOneAtATime), At(0));
   return gate;
 }
 
@@ -37,101 +37,107 @@
 TEST_CASE("ContentsThatAreNotListedGo")
 {
   QuarantineGate gate;
-  CHECK_FALSE(gate.Knows());
-  CHECK(gate.Ask(kContent, kTimeLeft, At(0)).mOutcome == GateOutcome::kGoes);
-  gate.Take(QuarantineTold{ .mFrom = 0, .mTo = 1 }, At(0));
-  CHECK(gate.Knows());
-  CHECK(gate.Ask(kContent, kTimeLeft, At(0)).mOutcome == GateOutcome::kGoes);
+  CHECK_FALSE(gate.HasTable());
+  CHECK(gate.Check(kContent, kTimeLeft, At(0)).mOutcome ==
+        GateOutcome::kAllowed);
+  gate.ApplyUpdate(QuarantineUpdate{ .mFrom = 0, .mTo = 1 }, At(0));
+  CHECK(gate.HasTable());
+  CHECK(gate.Check(kContent, kTimeLeft, At(0)).mOutcome ==
+        GateOutcome::kAllowed);
 }
 
 TEST_CASE("RefusedContentsAreRefusedAtOnce")
 {
   QuarantineGate gate;
-  gate.Take(Told(0, 4, QuarantineStage::kRefused), At(0));
-  CHECK(gate.Ask(kContent, kTimeLeft, At(0)).mOutcome == GateOutcome::kRefused);
-  CHECK(gate.Listed() == 1);
+  gate.ApplyUpdate(Update(0, 4, QuarantineStage::kRefused), At(0));
+  CHECK(gate.Check(kContent, kTimeLeft, At(0)).mOutcome ==
+        GateOutcome::kRefused);
+  CHECK(gate.ListedCount() == 1);
 }
 
 TEST_CASE("ASlowedContentGoesWhenTheLeaderGrantsItsTurn")
 {
-  QuarantineGate gate = SlowingGate();
-  const GateAnswer answer = gate.Ask(kContent, kTimeLeft, At(0));
-  REQUIRE(answer.mOutcome == GateOutcome::kWaits);
-  CHECK(answer.mAsk.mContent == kContent);
-  CHECK(answer.mAsk.mForMs == 4000);
-  CHECK(gate.Take(TurnAnswer{ answer.mTag, false }) == std::nullopt);
-  CHECK(gate.Take(TurnAnswer{ answer.mTag, true }) ==
-        GateDecided{ answer.mTag, GateOutcome::kHasTurn });
+  QuarantineGate gate = GateWithOneAtATime();
+  const GateResult result = gate.Check(kContent, kTimeLeft, At(0));
+  REQUIRE(result.mOutcome == GateOutcome::kWaitsForPermit);
+  CHECK(result.mPermitRequest.mContent == kContent);
+  CHECK(result.mPermitRequest.mForMs == 4000);
+  CHECK(gate.OnPermitResponse(PermitResponse{ result.mTag, false }) ==
+        std::nullopt);
+  CHECK(gate.OnPermitResponse(PermitResponse{ result.mTag, true }) ==
+        GateDecision{ result.mTag, GateOutcome::kHasPermit });
   SECTION("and gives it back")
   {
-    CHECK(gate.Ended(answer.mTag) == TurnEnded{ kContent, answer.mTag, false });
+    CHECK(gate.Ended(result.mTag) == RunEnded{ kContent, result.mTag, false });
   }
   SECTION("and says that it was answered")
   {
-    CHECK(gate.Answered(answer.mTag, kContent, At(10)) ==
-          TurnEnded{ kContent, answer.mTag, true });
+    CHECK(gate.Answered(result.mTag, kContent, At(10)) ==
+          RunEnded{ kContent, result.mTag, true });
   }
 }
 
 TEST_CASE("ATurnIsAskedForAgainUntilTheWaitIsOver")
 {
-  QuarantineGate gate = SlowingGate();
-  const GateAnswer answer = gate.Ask(kContent, kTimeLeft, At(0));
-  CHECK(gate.Tick(At(50)).mAsks.empty());
-  CHECK(gate.Tick(At(100)).mAsks.size() == 1);
-  CHECK(gate.Tick(At(150)).mAsks.empty());
-  const GateTick last = gate.Tick(At(1000));
-  CHECK(last.mAsks.empty());
-  CHECK(last.mDecided ==
-        std::vector{ GateDecided{ answer.mTag, GateOutcome::kTooLate } });
+  QuarantineGate gate = GateWithOneAtATime();
+  const GateResult result = gate.Check(kContent, kTimeLeft, At(0));
+  CHECK(gate.Tick(At(50)).mPermitRequests.empty());
+  CHECK(gate.Tick(At(100)).mPermitRequests.size() == 1);
+  CHECK(gate.Tick(At(150)).mPermitRequests.empty());
+  const GateActions last = gate.Tick(At(1000));
+  CHECK(last.mPermitRequests.empty());
+  CHECK(last.mDecisions == std::vector{ GateDecision{
+                             result.mTag, GateOutcome::kPermitTimeout } });
 }
 
 TEST_CASE("WhatWaitsGoesOnWhenItsContentIsDecided")
 {
-  QuarantineGate gate = SlowingGate();
-  const GateAnswer answer = gate.Ask(kContent, kTimeLeft, At(0));
+  QuarantineGate gate = GateWithOneAtATime();
+  const GateResult result = gate.Check(kContent, kTimeLeft, At(0));
   SECTION("cleared")
   {
-    CHECK(gate.Take(Told(2, 3, QuarantineStage::kCleared), At(50)).mDecided ==
-          std::vector{ GateDecided{ answer.mTag, GateOutcome::kGoes } });
-    CHECK(gate.Listed() == 0);
+    CHECK(gate.ApplyUpdate(Update(2, 3, QuarantineStage::kCleared), At(50))
+            .mDecisions ==
+          std::vector{ GateDecision{ result.mTag, GateOutcome::kAllowed } });
+    CHECK(gate.ListedCount() == 0);
   }
   SECTION("refused")
   {
-    CHECK(gate.Take(Told(2, 3, QuarantineStage::kRefused), At(50)).mDecided ==
-          std::vector{ GateDecided{ answer.mTag, GateOutcome::kRefused } });
+    CHECK(gate.ApplyUpdate(Update(2, 3, QuarantineStage::kRefused), At(50))
+            .mDecisions ==
+          std::vector{ GateDecision{ result.mTag, GateOutcome::kRefused } });
   }
-  CHECK(gate.Tick(At(2000)).mDecided.empty());
+  CHECK(gate.Tick(At(2000)).mDecisions.empty());
 }
 
 TEST_CASE("ChangesThatDoNotFollowAreLeft")
 {
-  QuarantineGate gate = SlowingGate();
-  gate.Take(Told(5, 6, QuarantineStage::kRefused), At(0));
-  CHECK(gate.Known() == 2);
+  QuarantineGate gate = GateWithOneAtATime();
+  gate.ApplyUpdate(Update(5, 6, QuarantineStage::kRefused), At(0));
+  CHECK(gate.KnownNumber() == 2);
   CHECK(gate.StageOf(kContent) == QuarantineStage::kOneAtATime);
-  gate.Take(Told(2, 6, QuarantineStage::kRefused), At(0));
-  gate.Take(Told(2, 3, QuarantineStage::kCleared), At(0));
-  CHECK(gate.Known() == 6);
+  gate.ApplyUpdate(Update(2, 6, QuarantineStage::kRefused), At(0));
+  gate.ApplyUpdate(Update(2, 3, QuarantineStage::kCleared), At(0));
+  CHECK(gate.KnownNumber() == 6);
   CHECK(gate.StageOf(kContent) == QuarantineStage::kRefused);
 }
 
 TEST_CASE("ALostTurnIsGivenBackOnceItsEndIsKnown")
 {
-  QuarantineGate gate = SlowingGate();
-  const GateAnswer answer = gate.Ask(kContent, kTimeLeft, At(0));
-  gate.Take(TurnAnswer{ answer.mTag, true });
-  gate.Lost(answer.mTag, At(100));
+  QuarantineGate gate = GateWithOneAtATime();
+  const GateResult result = gate.Check(kContent, kTimeLeft, At(0));
+  gate.OnPermitResponse(PermitResponse{ result.mTag, true });
+  gate.Lost(result.mTag, At(100));
   CHECK(gate.Tick(At(500)).mEnded.empty());
   CHECK(gate.Tick(At(1100)).mEnded ==
-        std::vector{ TurnEnded{ kContent, answer.mTag, false } });
+        std::vector{ RunEnded{ kContent, result.mTag, false } });
   CHECK(gate.Tick(At(1200)).mEnded.empty());
 }
 
 TEST_CASE("AnswersOfListedContentsAreTold")
 {
-  QuarantineGate gate = SlowingGate();
-  CHECK(gate.Answered(0, kContent, At(0)) == TurnEnded{ kContent, 0, true });
+  QuarantineGate gate = GateWithOneAtATime();
+  CHECK(gate.Answered(0, kContent, At(0)) == RunEnded{ kContent, 0, true });
   CHECK(gate.Answered(0, { .mLow = 2 }, At(0)) == std::nullopt);
 }
 
@@ -143,10 +149,10 @@
 TEST_CASE("AnAnswerOfBeforeIsToldWhenItsContentIsListed")
 {
   QuarantineGate gate;
-  gate.Take(QuarantineTold{ .mFrom = 0, .mTo = 1 }, At(0));
+  gate.ApplyUpdate(QuarantineUpdate{ .mFrom = 0, .mTo = 1 }, At(0));
   CHECK(gate.Answered(0, kContent, At(0)) == std::nullopt);
-  CHECK(gate.Take(Told(1, 2, QuarantineStage::kOneAtATime), At(70)).mEnded ==
-        std::vector{ TurnEnded{ kContent, 0, true, 70 } });
+  CHECK(gate.ApplyUpdate(Update(1, 2, QuarantineStage::kOneAtATime), At(70))
+          .mEnded == std::vector{ RunEnded{ kContent, 0, true, 70 } });
 }
 
 // Symptom: all requests of a content were refused for ten seconds, as their
@@ -155,28 +161,29 @@
 // gave that turn back.
 TEST_CASE("ATurnThatNobodyWaitsForIsGivenBack")
 {
-  QuarantineGate gate = SlowingGate();
-  const GateAnswer answer = gate.Ask(kContent, kTimeLeft, At(0));
-  const std::vector givenBack{ TurnEnded{ kContent, answer.mTag, false } };
+  QuarantineGate gate = GateWithOneAtATime();
+  const GateResult result = gate.Check(kContent, kTimeLeft, At(0));
+  const std::vector released{ RunEnded{ kContent, result.mTag, false } };
   SECTION("its request has waited long enough")
   {
-    CHECK(gate.Tick(At(1000)).mEnded == givenBack);
+    CHECK(gate.Tick(At(1000)).mEnded == released);
   }
   SECTION("its caller has left")
   {
-    gate.Forget(answer.mTag);
-    CHECK(gate.Tick(At(50)).mEnded == givenBack);
+    gate.Cancel(result.mTag);
+    CHECK(gate.Tick(At(50)).mEnded == released);
   }
   CHECK(gate.Tick(At(2000)).mEnded.empty());
 }
 
 TEST_CASE("ARequestWhoseCallerLeftWaitsForNothing")
 {
-  QuarantineGate gate = SlowingGate();
-  const GateAnswer answer = gate.Ask(kContent, kTimeLeft, At(0));
-  gate.Forget(answer.mTag);
-  CHECK(gate.Take(TurnAnswer{ answer.mTag, true }) == std::nullopt);
-  CHECK(gate.Tick(At(2000)).mDecided.empty());
+  QuarantineGate gate = GateWithOneAtATime();
+  const GateResult result = gate.Check(kContent, kTimeLeft, At(0));
+  gate.Cancel(result.mTag);
+  CHECK(gate.OnPermitResponse(PermitResponse{ result.mTag, true }) ==
+        std::nullopt);
+  CHECK(gate.Tick(At(2000)).mDecisions.empty());
 }
 
 } // namespace peridotspool::routing
--- a/test/routing/QuarantineBankTest.cpp
+++ b/test/routing/QuarantineManagerTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: unit
-#include "peridotspool/routing/QuarantineBank.h"
+#include "peridotspool/routing/QuarantineManager.h"
 
 #include <catch2/catch.hpp>
 
@@ -21,29 +21,30 @@
 struct Leader
 {
   QuarantineTable mTable;
-  QuarantineBank mBank;
+  QuarantineManager mManager;
 
   /** Its report comes the moment in which the answer is lost. */
   void Crash(const std::string& aUpstream,
              int aSentMs,
              int aLostMs,
-             bool aHadTurn = false,
+             bool aHadPermit = false,
              const Address& aFrom = kEntry)
   {
     const auto ago = static_cast<std::uint32_t>(aLostMs - aSentMs);
-    mBank.Take(aFrom,
-               { .mNumber = 1,
-                 .mLines = { { .mContent = kContent,
-                               .mUpstream = UpstreamName(aUpstream),
-                               .mSentAgoMs = ago,
-                               .mLostAgoMs = 0,
-                               .mHadTurn = aHadTurn } } },
-               mTable,
-               At(aLostMs));
+    mManager.HandleReport(aFrom,
+                          { .mNumber = 1,
+                            .mLines = { { .mContent = kContent,
+                                          .mUpstream = UpstreamName(aUpstream),
+                                          .mSentAgoMs = ago,
+                                          .mLostAgoMs = 0,
+                                          .mHadPermit = aHadPermit } } },
+                          mTable,
+                          At(aLostMs));
   }
   void Commit(int aMs)
   {
-    for (const QuarantineChange& change : mBank.Due(mTable, At(aMs))) {
+    for (const QuarantineChange& change :
+         mManager.PendingChanges(mTable, At(aMs))) {
       mTable.Apply(change);
     }
   }
@@ -54,11 +55,12 @@
   }
   bool Grants(std::uint64_t aTag, int aMs, const Address& aFrom = kEntry)
   {
-    return mBank
-      .Take(aFrom,
-            TurnAsk{ .mContent = kContent, .mTag = aTag, .mForMs = 4000 },
-            mTable,
-            At(aMs))
+    return mManager
+      .HandlePermitRequest(
+        aFrom,
+        PermitRequest{ .mContent = kContent, .mTag = aTag, .mForMs = 4000 },
+        mTable,
+        At(aMs))
       .mGranted;
   }
 };
@@ -120,14 +122,16 @@
   leader.Commit(600);
   SECTION("all of them, where it is the last")
   {
-    leader.mBank.Take(kEntry, TurnEnded{ kContent, 0, true, 10 }, At(700));
+    leader.mManager.HandleRunEnded(
+      kEntry, RunEnded{ kContent, 0, true, 10 }, At(700));
     leader.Commit(700);
     CHECK(leader.Stage() == QuarantineStage::kCleared);
   }
   SECTION("not the one after it")
   {
     leader.Crash("u3", 1000, 1100);
-    leader.mBank.Take(kEntry, TurnEnded{ kContent, 0, true, 900 }, At(1200));
+    leader.mManager.HandleRunEnded(
+      kEntry, RunEnded{ kContent, 0, true, 900 }, At(1200));
     leader.Commit(1200);
     CHECK(leader.Stage() == QuarantineStage::kOneAtATime);
   }
@@ -194,7 +198,8 @@
   CHECK_FALSE(leader.Grants(1, 720, kOther));
   SECTION("until its request is over")
   {
-    leader.mBank.Take(kEntry, TurnEnded{ kContent, 1, false }, At(730));
+    leader.mManager.HandleRunEnded(
+      kEntry, RunEnded{ kContent, 1, false }, At(730));
     CHECK(leader.Grants(2, 740));
   }
   SECTION("until its entry can't have it any more")
@@ -211,7 +216,8 @@
   leader.Crash("u2", 500, 600);
   leader.Commit(600);
   REQUIRE(leader.Grants(1, 700));
-  leader.mBank.Take(kEntry, TurnEnded{ kContent, 1, true }, At(800));
+  leader.mManager.HandleRunEnded(
+    kEntry, RunEnded{ kContent, 1, true }, At(800));
   CHECK(leader.Grants(2, 800));
   CHECK(leader.Grants(3, 800));
   leader.Commit(800);
@@ -235,11 +241,13 @@
   Leader leader;
   leader.Crash("u1", 0, 100);
   leader.Crash("u2", 500, 600);
-  const auto underWay = leader.mBank.Due(leader.mTable, At(600));
-  REQUIRE(underWay.size() == 1);
-  leader.mBank.Take(kEntry, TurnEnded{ kContent, 0, true }, At(610));
+  const auto uncommitted =
+    leader.mManager.PendingChanges(leader.mTable, At(600));
+  REQUIRE(uncommitted.size() == 1);
+  leader.mManager.HandleRunEnded(
+    kEntry, RunEnded{ kContent, 0, true }, At(610));
   leader.Commit(650);
-  leader.mTable.Apply(underWay[0]);
+  leader.mTable.Apply(uncommitted[0]);
   for (int at = 700; at < 3000; at += 100) {
     leader.Commit(at);
   }
@@ -252,7 +260,7 @@
   leader.Crash("u1", 0, 100);
   leader.Crash("u2", 500, 600);
   leader.Commit(600);
-  leader.mBank = QuarantineBank(leader.mTable, At(700));
+  leader.mManager = QuarantineManager(leader.mTable, At(700));
   SECTION("ends that it hears of again count once")
   {
     leader.Crash("u1", 0, 100);
@@ -274,9 +282,9 @@
   Leader leader;
   leader.Crash("u1", 0, 100);
   leader.Crash("u2", 500, 600);
-  CHECK(leader.mBank.Due(leader.mTable, At(600)).size() == 1);
-  CHECK(leader.mBank.Due(leader.mTable, At(700)).empty());
-  CHECK(leader.mBank.Due(leader.mTable, At(1600)).size() == 1);
+  CHECK(leader.mManager.PendingChanges(leader.mTable, At(600)).size() == 1);
+  CHECK(leader.mManager.PendingChanges(leader.mTable, At(700)).empty());
+  CHECK(leader.mManager.PendingChanges(leader.mTable, At(1600)).size() == 1);
 }
 
 TEST_CASE("WhatAnOperatorLiftsNeedsThreeMoreEnds")
@@ -304,7 +312,7 @@
   }
   leader.Commit(1100);
   for (int at = 0; at < 3 * kHour; at += kHour / 4) {
-    leader.mBank.CameAgain(kContent, At(at));
+    leader.mManager.RecordResubmission(kContent, At(at));
     leader.Commit(at);
     CHECK(leader.Stage() == QuarantineStage::kRefused);
   }
@@ -321,14 +329,15 @@
   leader.Crash("u2", 500, 600);
   leader.Commit(600);
   for (std::uint64_t content = 100; content < 30000; ++content) {
-    leader.mBank.Take(kEntry,
-                      { .mNumber = content,
-                        .mLines = { { .mContent = { .mLow = content },
-                                      .mUpstream = UpstreamName("u5") } } },
-                      leader.mTable,
-                      At(700 + static_cast<int>(content)));
+    leader.mManager.HandleReport(
+      kEntry,
+      { .mNumber = content,
+        .mLines = { { .mContent = { .mLow = content },
+                      .mUpstream = UpstreamName("u5") } } },
+      leader.mTable,
+      At(700 + static_cast<int>(content)));
   }
-  CHECK(leader.mBank.Size() <= 4096);
+  CHECK(leader.mManager.Size() <= 4096);
   leader.Commit(40000);
   CHECK(leader.Stage() == QuarantineStage::kOneAtATime);
   leader.Crash("u3", 50000, 50100, true);
--- a/test/routing/QuarantineTableTest.cpp
+++ b/test/routing/QuarantineTableTest.cpp
@@ -16,8 +16,8 @@
            .mCrashes = { { .mUpstream = UpstreamName("u") } } };
 }
 
-QuarantineLine
-Line(std::uint64_t aContent, QuarantineStage aStage)
+QuarantineStatus
+Status(std::uint64_t aContent, QuarantineStage aStage)
 {
   return { .mContent = { .mLow = aContent }, .mStage = aStage };
 }
@@ -27,12 +27,12 @@
 TEST_CASE("WhoKnowsNothingIsToldTheWholeTable")
 {
   QuarantineTable table;
-  CHECK(table.Since(0) == QuarantineTold{ .mFrom = 0, .mTo = 1 });
+  CHECK(table.UpdateSince(0) == QuarantineUpdate{ .mFrom = 0, .mTo = 1 });
   table.Apply(Change(1, QuarantineStage::kRefused));
   table.Apply(Change(2, QuarantineStage::kOneAtATime));
   table.Apply(Change(2, QuarantineStage::kCleared));
-  CHECK(table.Since(0).mLines ==
-        std::vector{ Line(1, QuarantineStage::kRefused) });
+  CHECK(table.UpdateSince(0).mLines ==
+        std::vector{ Status(1, QuarantineStage::kRefused) });
 }
 
 TEST_CASE("WhoKnowsAPartIsToldTheRestAndWhatWasCleared")
@@ -42,11 +42,11 @@
   const std::uint64_t known = table.mNumber;
   table.Apply(Change(1, QuarantineStage::kCleared));
   table.Apply(Change(2, QuarantineStage::kRefused));
-  const QuarantineTold told = table.Since(known);
-  CHECK(told.mFrom == known);
-  CHECK(told.mTo == table.mNumber);
-  CHECK(told.mLines == std::vector{ Line(1, QuarantineStage::kCleared),
-                                    Line(2, QuarantineStage::kRefused) });
+  const QuarantineUpdate update = table.UpdateSince(known);
+  CHECK(update.mFrom == known);
+  CHECK(update.mTo == table.mNumber);
+  CHECK(update.mLines == std::vector{ Status(1, QuarantineStage::kCleared),
+                                      Status(2, QuarantineStage::kRefused) });
 }
 
 // Symptom: an entry would go on refusing by a row of a group that is gone.
@@ -56,7 +56,7 @@
 TEST_CASE("WhoKnowsMoreThanTheTableIsToldTheWholeTable")
 {
   const QuarantineTable table;
-  CHECK(table.Since(9) == QuarantineTold{ .mFrom = 0, .mTo = 1 });
+  CHECK(table.UpdateSince(9) == QuarantineUpdate{ .mFrom = 0, .mTo = 1 });
 }
 
 TEST_CASE("AClearedRowKeepsTheEndsThatCountNoMore")
@@ -82,7 +82,7 @@
   CHECK(table.mRows.size() < kMany);
   REQUIRE(table.Find({ .mLow = 1 }) != nullptr);
   CHECK(table.Find({ .mLow = 2 }) == nullptr);
-  CHECK(table.Since(known).mFrom == 0);
+  CHECK(table.UpdateSince(known).mFrom == 0);
 }
 
 } // namespace peridotspool::routing
--- a/test/routing/RetryTest.cpp
+++ b/test/routing/RetryTest.cpp
@@ -35,12 +35,12 @@
   constexpr int kRequests = 10000;
   int sent = 0;
   for (int request = 0; request < kRequests; ++request) {
-    budget.CountFirstTry();
-    FailedTry failed{ .mDeadline = kStart + seconds(60) };
+    budget.CountFirstAttempt();
+    FailedAttempt failed{ .mDeadline = kStart + seconds(60) };
     for (++sent; std::holds_alternative<RetryAfterPause>(
            DecideRetry(failed, Rules(), budget, kStart));
          ++sent) {
-      ++failed.mTries;
+      ++failed.mAttempts;
     }
   }
   // Without the budget it would be three times the requests.
@@ -51,20 +51,20 @@
 TEST_CASE("NoRetryRunsPastItsDeadlineOrItsBound")
 {
   rc::prop("over any try", [] {
-    FailedTry failed;
-    failed.mTries = *rc::gen::inRange<std::uint64_t>(1, 40);
+    FailedAttempt failed;
+    failed.mAttempts = *rc::gen::inRange<std::uint64_t>(1, 40);
     failed.mDeadline = kStart + milliseconds(*rc::gen::inRange(-100, 3000));
-    failed.mLeastTime = milliseconds(*rc::gen::inRange(0, 500));
+    failed.mMinTime = milliseconds(*rc::gen::inRange(0, 500));
     failed.mRandom = *rc::gen::arbitrary<std::uint64_t>();
     RetryBudget budget({});
     const auto decision = DecideRetry(failed, Rules(50), budget, kStart);
     if (const auto* retry = std::get_if<RetryAfterPause>(&decision)) {
-      RC_ASSERT(kStart + retry->mPause + failed.mLeastTime < failed.mDeadline);
+      RC_ASSERT(kStart + retry->mPause + failed.mMinTime < failed.mDeadline);
       RC_ASSERT(retry->mPause >= Duration(0));
       RC_ASSERT(retry->mPause <= seconds(1));
       const auto bound =
         milliseconds(25) *
-        (1LL << std::min<std::uint64_t>(failed.mTries - 1, 20));
+        (1LL << std::min<std::uint64_t>(failed.mAttempts - 1, 20));
       RC_ASSERT(retry->mPause <= bound);
     }
   });
@@ -74,12 +74,12 @@
 {
   RetryBudget spent({ .mShare = 0, .mBurst = 0 });
   RetryBudget full({});
-  const FailedTry open{ .mTries = 1, .mDeadline = kStart + seconds(9) };
+  const FailedAttempt open{ .mAttempts = 1, .mDeadline = kStart + seconds(9) };
   CHECK(DecideRetry(open, Rules(1), full, kStart) ==
         RetryDecision(NoRetry::kAttemptsSpent));
   CHECK(DecideRetry(open, Rules(), spent, kStart) ==
         RetryDecision(NoRetry::kBudgetSpent));
-  const FailedTry late{ .mTries = 1, .mDeadline = kStart };
+  const FailedAttempt late{ .mAttempts = 1, .mDeadline = kStart };
   CHECK(DecideRetry(late, Rules(), full, kStart) ==
         RetryDecision(NoRetry::kDeadlineTooNear));
 }
--- a/test/routing/RouterTest.cpp
+++ b/test/routing/RouterTest.cpp
@@ -53,8 +53,10 @@
       }
       const double load = Load(name, arrived);
       const double slots = news.mSlots;
-      const double hold = static_cast<double>(mOptions.mFirstHold.count());
-      const double ahead = load + (mOptions.mOthersSend ? 0.5 : 0) - slots + 1;
+      const double hold =
+        static_cast<double>(mOptions.mInitialHoldTime.count());
+      const double ahead =
+        load + (mOptions.mOtherEntriesSend ? 0.5 : 0) - slots + 1;
       const double wait = ahead > 0 ? ahead * hold / slots : 0;
       const double first =
         std::round(wait + static_cast<double>(news.mFirstToken.count()) *
@@ -117,7 +119,7 @@
     }
     const int known =
       static_cast<int>(aArrived.mNews.mRunning + aArrived.mNews.mWaiting);
-    const int weight = mOptions.mOthersSend ? 2 : 1;
+    const int weight = mOptions.mOtherEntriesSend ? 2 : 1;
     return std::max(known + weight * since, own);
   }
 
@@ -132,7 +134,7 @@
 public:
   Comparison(std::uint32_t aUpstreams, bool aOthersSend)
     : mUpstreams(aUpstreams)
-    , mOptions{ .mOthersSend = aOthersSend }
+    , mOptions{ .mOtherEntriesSend = aOthersSend }
     , mRouter(mOptions)
     , mNaive(mOptions)
   {
@@ -202,7 +204,7 @@
     const std::string name = choice->mUpstream.Value();
     RC_ASSERT(scores.contains(name));
     double best = scores.at(name);
-    for (const auto& weighed : choice->mWeighed) {
+    for (const auto& weighed : choice->mCandidateScores) {
       const auto found = scores.find(weighed.mUpstream.Value());
       best = found == scores.end() ? best : std::min(best, found->second);
     }
@@ -241,7 +243,7 @@
 
 TEST_CASE("OwnSendsCountUntilAYoungerReportHasThem")
 {
-  Router router({ .mOthersSend = false });
+  Router router({ .mOtherEntriesSend = false });
   UpstreamAnnouncement first = Announcement("u1");
   UpstreamAnnouncement second = Announcement("u2");
   first.mRunning = 0;
--- a/test/routing/RoutingFixture.h
+++ b/test/routing/RoutingFixture.h
@@ -11,16 +11,16 @@
 inline UpstreamAnnouncement
 Announcement(const std::string& aName, std::uint64_t aSequence = 1)
 {
-  UpstreamAnnouncement news;
-  news.mName = UpstreamName(aName);
-  news.mIncarnation = Incarnation(1);
-  news.mSequence = aSequence;
-  news.mService = kAssistant;
-  news.mAddress = { "10.0.0.1", 9000 };
-  news.mSlots = 4;
-  news.mFirstToken = std::chrono::milliseconds(100);
-  news.mLease = std::chrono::seconds(2);
-  return news;
+  UpstreamAnnouncement announcement;
+  announcement.mName = UpstreamName(aName);
+  announcement.mIncarnation = Incarnation(1);
+  announcement.mSequence = aSequence;
+  announcement.mService = kAssistant;
+  announcement.mAddress = { "10.0.0.1", 9000 };
+  announcement.mSlots = 4;
+  announcement.mFirstToken = std::chrono::milliseconds(100);
+  announcement.mLease = std::chrono::seconds(2);
+  return announcement;
 }
 
 /** Returns a request whose deadline is far. */
@@ -37,8 +37,8 @@
 inline std::string
 Chosen(Router& aRouter, const RouteQuery& aQuery, TimePoint aNow)
 {
-  NoRoute whyNot = NoRoute::kNoUpstream;
-  const auto choice = aRouter.Choose(aQuery, aNow, whyNot);
+  NoRoute reason = NoRoute::kNoUpstream;
+  const auto choice = aRouter.Choose(aQuery, aNow, reason);
   return choice ? choice->mUpstream.Value() : "";
 }
 
--- a/test/routing/SlowOnceTest.cpp
+++ b/test/routing/SlowOnceTest.cpp
@@ -55,7 +55,7 @@
     mRouter.Tick(mNow);
   }
 
-  Router mRouter{ RouterOptions{ .mOthersSend = false } };
+  Router mRouter{ RouterOptions{ .mOtherEntriesSend = false } };
   TimePoint mNow = kStart;
   std::uint64_t mSequence = 0;
 };
