--- a/include/peridotspool/routing/Admission.h
+++ b/include/peridotspool/routing/Admission.h
@@ -17,13 +17,16 @@
 struct AdmissionOptions
 {
   FairQueueOptions mQueue;
-  /** Requests of one service that this entry has at upstreams at once. */
+  /**
+   * Maximum requests of one service that this entry runs at upstreams
+   * concurrently.
+   */
   std::size_t mMaxRunning = 256;
-  /** Expected time of a request before one has ended. */
+  /** Expected run time of a request before the first one has ended. */
   Duration mInitialHoldTime = std::chrono::milliseconds(500);
 };
 
-/** A request that asks to be admitted. */
+/** A request to be admitted. */
 struct AdmissionQuery
 {
   RequestKey mKey;
@@ -33,12 +36,12 @@
 };
 
 /**
- * Decides, for one service at one entry, which requests go on: limits first,
- * then a fair queue while all running places are taken. A request that can't
- * meet its deadline is refused when it asks, not when it is too late.
+ * Decides, for one service at one entry, which requests run: applies the
+ * limits, then a fair queue while all slots are taken. A request that can't
+ * meet its deadline is refused on arrival, not at the deadline.
  *
- * Each admitted request ends with Ended; each queued one is given out by Next
- * or TakeExpired. Pure; not thread-safe.
+ * Each admitted request must be ended with Ended; each queued one is returned
+ * by Next or TakeExpired. Does no I/O and reads no clock. Not thread-safe.
  */
 class Admission
 {
@@ -49,26 +52,29 @@
                          const settings::EffectiveService& aSettings,
                          TimePoint aNow);
 
-  /** A request that ran has ended, after aTook at its upstream. */
+  /** Called when an admitted request has ended, after aTook at its upstream. */
   void Ended(const CustomerName& aCustomer, Duration aTook);
 
-  /** Takes the next queued request if a running place is free. */
+  /** Removes and returns the next queued request if a slot is free. */
   std::optional<QueuedRequest> Next();
 
-  /** Takes queued requests that can't meet their deadline any more. */
+  /** Removes and returns the queued requests whose deadline has passed. */
   std::vector<QueuedRequest> TakeExpired(TimePoint aNow);
 
-  /** Changes how many run at once, as the upstreams in sight change. */
+  /** Changes the number of slots, as the number of known upstreams changes. */
   void SetMaxRunning(std::size_t aMaxRunning);
 
-  /** The entries that share the limits, this one among them. */
+  /** Sets the entries that share the limits, including this one. */
   void SetMembers(std::vector<MemberId> aMembers);
 
-  /** What this entry publishes: requests a second asked for by customer. */
+  /**
+   * Returns the demand of each customer at this entry, in requests per second,
+   * to be published to the other entries.
+   */
   std::map<CustomerName, double> Demand(TimePoint aNow);
   /**
-   * Takes what the entries published for a customer, this one included; those
-   * that published nothing have no demand.
+   * Applies the demand that the entries, including this one, published for a
+   * customer. Entries that published nothing have no demand.
    */
   void SetPublishedDemand(const CustomerName& aCustomer,
                           const PublishedDemand& aPublished,
@@ -79,7 +85,7 @@
   std::size_t Waiting() const { return mQueue.Size(); }
 
 private:
-  /** A customer's limits, and what this entry's part was reckoned from. */
+  /** A customer's limits, and the inputs of this entry's share. */
   struct CustomerLimit
   {
     settings::Limits mTotal;
--- a/include/peridotspool/routing/AdmissionOutcome.h
+++ b/include/peridotspool/routing/AdmissionOutcome.h
@@ -21,13 +21,13 @@
                     kQueueFull,
                     kDeadlineTooNear)
 
-/** Goes on to an upstream now. */
+/** The request may run now. */
 struct Admitted
 {
   auto operator<=>(const Admitted&) const = default;
 };
 
-/** Waits for its turn; Admission::Next gives it out. */
+/** The request waits; Admission::Next returns it later. */
 struct Queued
 {
   Duration mExpectedWait{ 0 };
@@ -35,7 +35,7 @@
   auto operator<=>(const Queued&) const = default;
 };
 
-/** Refused, at once; it did not run. */
+/** The request was refused and did not run. */
 struct Refused
 {
   AdmissionReason mReason = AdmissionReason::kRateLimit;
--- a/include/peridotspool/routing/AnnouncementTargets.h
+++ b/include/peridotspool/routing/AnnouncementTargets.h
@@ -7,13 +7,16 @@
 
 namespace peridotspool::routing {
 
-/** Entries that get an upstream's announcements; with fewer, all do. */
+/**
+ * Number of entries that receive an upstream's announcements; all, if there are
+ * fewer.
+ */
 inline constexpr std::size_t kMaxAnnouncementTargets = 16;
 
 /**
- * Returns the entries that need an upstream's announcements, ordered by id:
- * the same at every entry that knows the same members. When a member joins or
- * leaves, at most one target of an upstream changes.
+ * Returns the entries that receive an upstream's announcements, ordered by id.
+ * The result is the same at every entry with the same members. When a member
+ * joins or leaves, at most one target of an upstream changes.
  */
 std::vector<MemberId>
 AnnouncementTargets(const UpstreamName& aUpstream,
--- a/include/peridotspool/routing/CacheReport.h
+++ b/include/peridotspool/routing/CacheReport.h
@@ -9,12 +9,15 @@
 
 namespace peridotspool::routing {
 
-/** What changed in an engine's prefix cache; may be late, and may be lost. */
+/** Changes of an engine's prefix cache. Reports may arrive late or be lost. */
 struct CacheReport
 {
   UpstreamName mUpstream;
   Incarnation mIncarnation;
-  /** Rises by one with each report of one life; a jump is a gap. */
+  /**
+   * Increases by one with each report of one incarnation; a larger step shows
+   * that reports were lost.
+   */
   std::uint64_t mSequence = 0;
   std::vector<std::uint64_t> mAddedBlocks;
   std::vector<std::uint64_t> mRemovedBlocks;
--- a/include/peridotspool/routing/CompletionCache.h
+++ b/include/peridotspool/routing/CompletionCache.h
@@ -10,9 +10,10 @@
 namespace peridotspool::routing {
 
 /**
- * Remembers when contents were last answered completely, for a minute at most:
- * one place for each remainder of a content's hash, which the last one takes.
- * Noting one costs a write, and its size never changes.
+ * Remembers for up to a minute when contents were last answered completely. It
+ * is a direct-mapped cache, indexed by the content's hash: a newer content
+ * replaces an older one in the same slot. Recording costs one write, and the
+ * size is fixed.
  *
  * Not thread-safe.
  */
@@ -20,7 +21,10 @@
 {
 public:
   void Record(const ContentId& aContent, TimePoint aNow);
-  /** Empty where it wasn't answered lately, as far as is remembered. */
+  /**
+   * Returns the time since the last complete answer; empty if none is
+   * remembered.
+   */
   std::optional<Duration> AgeOf(const ContentId& aContent,
                                 TimePoint aNow) const;
 
--- a/include/peridotspool/routing/CrashDetector.h
+++ b/include/peridotspool/routing/CrashDetector.h
@@ -21,13 +21,13 @@
   auto operator<=>(const UpstreamIncarnation&) const = default;
 };
 
-/** A request that was being run when its answer was lost. */
+/** A request that was running when the connection for its response was lost. */
 struct LostResponse
 {
   ContentId mContent;
   TimePoint mSentAt;
   TimePoint mLostAt;
-  /** It had the turn of a content that runs once at a time. */
+  /** The run held the permit of a content that runs one at a time. */
   bool mHadPermit = false;
 
   auto operator<=>(const LostResponse&) const = default;
@@ -35,14 +35,16 @@
 
 enum class CrashEvidence
 {
-  /** Nobody listens at its address. */
+  /** A connection to its address was refused. */
   kConnectionRefused,
   /** Another incarnation has announced itself at its address. */
   kNewIncarnation,
 };
 
-/** A incarnation that crashes without a word while it ran requests of this
- * entry. */
+/**
+ * An incarnation that crashed, without deregistering first, while it ran
+ * requests of this entry.
+ */
 struct UpstreamCrash
 {
   UpstreamIncarnation mUpstream;
@@ -53,37 +55,43 @@
 };
 
 /**
- * Tells the end of an upstream's incarnation from the end of a connection to
- * it. A lost answer alone shows neither: an upstream that goes on may have
- * reset the connection, or something between may have cut it.
+ * Distinguishes the crash of an upstream from the loss of a connection to it. A
+ * lost response alone shows neither: a live upstream may have reset the
+ * connection, or the network between may have cut it.
  *
- * Only lives that had not announced their leave are to be told of here. A pure
- * step; not thread-safe.
+ * Only incarnations that had not announced that they leave are to be reported
+ * here. Does no I/O and reads no clock. Not thread-safe.
  */
 class CrashDetector
 {
 public:
   /**
-   * An answer was lost. Returns the incarnation's end where that is known
-   * already; otherwise ShouldProbe says whether its address is to be tried.
+   * Called when a response was lost. Returns the crash if the incarnation is
+   * known to have crashed; otherwise ShouldProbe tells whether to probe its
+   * address.
    */
   std::optional<UpstreamCrash> Lost(const UpstreamIncarnation& aIncarnation,
                                     const Address& aAddress,
                                     const LostResponse& aLost);
-  /** Returns true iff a connection is to be tried; once for each pending. */
+  /**
+   * Returns true iff a connection is to be tried; once for each pending
+   * incarnation.
+   */
   bool ShouldProbe(const UpstreamIncarnation& aIncarnation);
 
-  /** A connection to the incarnation's address was refused. */
+  /** Called when a connection to the incarnation's address was refused. */
   std::optional<UpstreamCrash> Refused(const UpstreamIncarnation& aIncarnation,
                                        TimePoint aNow);
-  /** A connection that was tried for this stands: the incarnation goes on. */
+  /** Called when the probe connected: the incarnation is still alive. */
   void Accepted(const UpstreamIncarnation& aIncarnation);
-  /** A incarnation announces itself; whoever was at its address before is
-   * replaced. */
+  /**
+   * Called when an incarnation announces itself. Returns the crashes of others
+   * that had the same address.
+   */
   std::vector<UpstreamCrash> Announced(const UpstreamIncarnation& aIncarnation,
                                        const Address& aAddress,
                                        TimePoint aNow);
-  /** Forgets what is long replaced. */
+  /** Drops expired state. */
   void Forget(TimePoint aNow);
 
 private:
--- a/include/peridotspool/routing/CrashReport.h
+++ b/include/peridotspool/routing/CrashReport.h
@@ -10,16 +10,16 @@
 
 namespace peridotspool::routing {
 
-/** A content that a life of an upstream was running when it ended. */
+/** A content that an upstream incarnation was running when it crashed. */
 struct ReportedCrash
 {
   ContentId mContent;
   UpstreamName mUpstream;
   Incarnation mIncarnation;
-  /** Before the report was sent, in milliseconds. */
+  /** Age when the report was sent, in milliseconds. */
   std::uint32_t mSentAgoMs = 0;
   std::uint32_t mLostAgoMs = 0;
-  /** It had the turn of a content that runs once at a time. */
+  /** The run held the permit of a content that runs one at a time. */
   bool mHadPermit = false;
 
   auto operator<=>(const ReportedCrash&) const = default;
@@ -29,10 +29,10 @@
   (),
   (mContent, mUpstream, mIncarnation, mSentAgoMs, mLostAgoMs, mHadPermit))
 
-/** From an entry to the control leader, until that has it. */
+/** Sent by an entry to the control leader until acknowledged. */
 struct CrashReport
 {
-  /** Names the report among those of the entry's process. */
+  /** Identifies the report among those of the entry's process. */
   std::uint64_t mNumber = 0;
   std::vector<ReportedCrash> mLines;
 
@@ -40,7 +40,7 @@
 };
 BOOST_DESCRIBE_STRUCT(CrashReport, (), (mNumber, mLines))
 
-/** From the leader: it has the report. */
+/** Sent by the leader to acknowledge a report. */
 struct CrashReportAck
 {
   std::uint64_t mNumber = 0;
@@ -49,13 +49,13 @@
 };
 BOOST_DESCRIBE_STRUCT(CrashReportAck, (), (mNumber))
 
-/** To the leader: may a request of this content be run now? */
+/** Asks the leader for permission to run a request of this content now. */
 struct PermitRequest
 {
   ContentId mContent;
-  /** The entry's number of the request. */
+  /** Identifies the request at the entry. */
   std::uint64_t mTag = 0;
-  /** The request is over by then, in milliseconds. */
+  /** Maximum time that the permit is needed for, in milliseconds. */
   std::uint32_t mForMs = 0;
 
   auto operator<=>(const PermitRequest&) const = default;
@@ -71,15 +71,15 @@
 };
 BOOST_DESCRIBE_STRUCT(PermitResponse, (), (mTag, mGranted))
 
-/** To the leader: a request of a listed content is over. */
+/** Notifies the leader that a request of a listed content is over. */
 struct RunEnded
 {
   ContentId mContent;
-  /** 0 where it had no turn: it was sent before the content was listed. */
+  /** The permit, or 0 if the request was sent before the content was listed. */
   std::uint64_t mTag = 0;
-  /** An upstream has answered it completely. */
+  /** An upstream has answered the request completely. */
   bool mAnswered = false;
-  /** So long before this was sent, in milliseconds. */
+  /** Age of the answer when this was sent, in milliseconds. */
   std::uint32_t mAgoMs = 0;
 
   auto operator<=>(const RunEnded&) const = default;
--- a/include/peridotspool/routing/CrashReporter.h
+++ b/include/peridotspool/routing/CrashReporter.h
@@ -11,22 +11,25 @@
 namespace peridotspool::routing {
 
 /**
- * Keeps what this entry saw of ended lives, and tells each control leader of it
- * until that has it: a message may be lost, and a new leader knows nothing of
- * what the crash before had only heard.
+ * Buffers the crashes that this entry detected and reports them to each control
+ * leader until it acknowledges them. A message may be lost, and a new leader
+ * has no crashes that its predecessor received but did not commit.
  *
- * A pure step; not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class CrashReporter
 {
 public:
   void Add(const UpstreamCrash& aCrash);
-  /** A leader that has heard nothing from here yet. */
+  /**
+   * Called when a leader that has received no reports from this entry takes
+   * over.
+   */
   void OnNewLeader();
-  /** What is to be sent to the leader now; empty for nothing. */
+  /** Returns the report to send to the leader now, if any. */
   std::optional<CrashReport> Report(TimePoint aNow);
   void OnAck(const CrashReportAck& aAck);
-  /** Forgets what is too old to count. */
+  /** Drops crashes that are too old to count as evidence. */
   void Forget(TimePoint aNow);
 
 private:
@@ -35,7 +38,7 @@
     UpstreamIncarnation mUpstream;
     LostResponse mLost;
     bool mAcknowledged = false;
-    /** The last report that had it. */
+    /** Number of the last report that contained the crash. */
     std::uint64_t mReportNumber = 0;
     std::optional<TimePoint> mReportedAt;
   };
--- a/include/peridotspool/routing/EjectionOptions.h
+++ b/include/peridotspool/routing/EjectionOptions.h
@@ -6,22 +6,29 @@
 
 namespace peridotspool::routing {
 
-/** When an upstream that fails or is slow gets no work for a while. */
+/**
+ * When an upstream that fails or is slow is ejected, that is, gets no requests
+ * for a while.
+ */
 struct EjectionOptions
 {
-  /** Failures in a row that eject. */
+  /** Consecutive failures that cause an ejection. */
   std::uint32_t mFailuresInRow = 3;
-  /** Ended requests before an upstream can count as slow. */
+  /** Consecutive slow requests that cause an ejection. */
   std::uint32_t mSlowSamples = 8;
-  /** How many times slower than its service's mean counts as slow. */
+  /** A request is slow if it takes this many times the mean of its service. */
   double mSlowFactor = 5;
-  /** The first ejection's time; doubles with each that follows soon. */
+  /**
+   * Duration of the first ejection. It doubles with each further ejection
+   * before mResetAfter has passed.
+   */
   Duration mInitialTime = std::chrono::seconds(2);
   Duration mMaxTime = std::chrono::seconds(60);
-  /** Without an ejection for this long the time starts from mInitialTime again.
+  /**
+   * Time without an ejection after which the duration is mInitialTime again.
    */
   Duration mResetAfter = std::chrono::minutes(5);
-  /** At most this share of a service's upstreams is ejected at once. */
+  /** Maximum share of a service's upstreams that are ejected at once. */
   double mMaxShare = 0.3;
 };
 
--- a/include/peridotspool/routing/FairQueue.h
+++ b/include/peridotspool/routing/FairQueue.h
@@ -13,13 +13,13 @@
 
 namespace peridotspool::routing {
 
-/** One request that waits for its turn. */
+/** A queued request. */
 struct QueuedRequest
 {
   RequestKey mKey;
-  /** Lower is more urgent. */
+  /** Lower values are more urgent. */
   std::int32_t mPriority = 0;
-  /** What serving it takes, such as its expected tokens; above zero. */
+  /** Cost of serving the request, such as its expected tokens; above zero. */
   double mCost = 1;
   TimePoint mDeadline;
 
@@ -28,51 +28,62 @@
 
 struct FairQueueOptions
 {
-  /** Requests that wait at once, all customers together. */
+  /** Maximum queued requests of all customers together. */
   std::size_t mMaxQueued = 1024;
-  /** How far an urgent request may take its customer past its fair share. */
+  /**
+   * Cost, divided by the customer's weight, by which urgent requests may take a
+   * customer past its fair share.
+   */
   double mUrgentBurst = 4;
 };
 
 /**
  * Start-time fair queueing among customers. A customer's share follows its
- * weight however much others ask for. Within its share a customer's urgent
- * requests go before others' less urgent ones; past it they wait as others do,
- * so marking everything urgent wins nothing.
+ * weight, whatever the demand of the others. Within its share a customer's
+ * urgent requests are served before less urgent ones of others. Beyond its
+ * share they wait like all others, so that marking every request urgent gains
+ * nothing.
  *
- * The room of the queue is divided by weight too, so that a full queue has
- * room for a customer that has not asked yet.
+ * The capacity of the queue is divided by weight too, so that a full queue
+ * still accepts requests of a customer without any in it.
  */
 class FairQueue
 {
 public:
   explicit FairQueue(FairQueueOptions aOptions);
 
-  /** Makes a customer known; one that is not known has weight 1. */
+  /** Adds the customer if needed. Customers without a weight have weight 1. */
   void SetWeight(const CustomerName& aCustomer, double aWeight);
 
   /** Returns false iff the customer's part of the queue is full. */
   bool Push(QueuedRequest aRequest);
 
-  /** Takes the next request to serve; empty iff none waits. */
+  /**
+   * Removes and returns the next request to serve; empty iff none is queued.
+   */
   std::optional<QueuedRequest> Pop();
 
-  /** Takes all requests whose deadline is before aTime. */
+  /** Removes and returns all requests whose deadline is before aTime. */
   std::vector<QueuedRequest> TakeExpired(TimePoint aTime);
 
   std::size_t Size() const { return mSize; }
-  /** Requests of a customer that wait. */
+  /** Number of the customer's queued requests. */
   std::size_t SizeOf(const CustomerName& aCustomer) const;
-  /** The customer's part of the service while all known customers ask. */
+  /**
+   * The customer's share of the service while all known customers have
+   * requests.
+   */
   double ShareOf(const CustomerName& aCustomer) const;
 
 private:
   struct Customer
   {
     double mWeight = 1;
-    /** Where its service stands, in cost by weight. */
+    /**
+     * Virtual finish time of its last request: served cost divided by weight.
+     */
     double mFinish = 0;
-    /** By priority, first come first served within one. */
+    /** Queues by priority, each first in, first out. */
     std::map<std::int32_t, std::deque<QueuedRequest>> mWaiting;
     std::size_t mSize = 0;
   };
@@ -83,7 +94,7 @@
   static std::size_t TakeExpired(Customer& aCustomer,
                                  TimePoint aTime,
                                  std::vector<QueuedRequest>& aLate);
-  /** Returns the customer, added with weight 1 if it was not known. */
+  /** Returns the customer; adds it with weight 1 if needed. */
   Customer& FindOrAdd(const CustomerName& aCustomer);
 
   FairQueueOptions mOptions;
--- a/include/peridotspool/routing/LimitShare.h
+++ b/include/peridotspool/routing/LimitShare.h
@@ -7,14 +7,14 @@
 
 namespace peridotspool::routing {
 
-/** What each entry was asked for lately, requests a second, as published. */
+/** Recent demand at each entry as published, in requests per second. */
 using PublishedDemand = std::map<MemberId, double>;
 
 /**
- * Returns one entry's part of limits that all entries share: what
- * nobody asks for, at least a tenth, is divided evenly, the rest by published
- * demand. Entries that use the same
- * published demand get parts that sum to exactly the limits.
+ * Returns one entry's share of limits that all entries share. The unused
+ * fraction of the rate, at least a tenth, is divided evenly; the rest is
+ * divided by published demand. The shares of entries that use the same
+ * published demand sum to exactly the limits.
  */
 settings::Limits
 LimitShare(const settings::Limits& aLimits,
--- a/include/peridotspool/routing/Quarantine.h
+++ b/include/peridotspool/routing/Quarantine.h
@@ -12,36 +12,36 @@
 
 namespace peridotspool::routing {
 
-/** How entries treat a content under which lives of upstreams have ended. */
+/** How entries treat a content that was running when upstreams crashed. */
 enum class QuarantineStage
 {
-  /** Like any other. */
+  /** Runs without restriction. */
   kCleared,
-  /** All entries together run it once at a time. */
+  /** Runs on at most one upstream at a time, across all entries. */
   kOneAtATime,
-  /** It isn't run any more. */
+  /** Is not run any more. */
   kRefused,
 };
 BOOST_DESCRIBE_ENUM(QuarantineStage, kCleared, kOneAtATime, kRefused)
 
-/** A life of an upstream that ended while it ran a content. */
+/** An upstream incarnation that crashed while it ran a content. */
 struct CrashRecord
 {
   UpstreamName mUpstream;
   Incarnation mIncarnation;
-  /** The entry that saw it. */
+  /** Address of the entry that reported the crash. */
   std::string mSeenBy;
 
   auto operator<=>(const CrashRecord&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(CrashRecord, (), (mUpstream, mIncarnation, mSeenBy))
 
-/** A change to one content's treatment. */
+/** A change of the stage of one content. */
 struct QuarantineChange
 {
   ContentId mContent;
   QuarantineStage mStage = QuarantineStage::kCleared;
-  /** Ends of lives that count as evidence of their own. */
+  /** Crashes that count as independent evidence; see QuarantineManager. */
   std::uint32_t mCounted = 0;
   std::vector<CrashRecord> mCrashes;
 
@@ -51,7 +51,9 @@
                       (),
                       (mContent, mStage, mCounted, mCrashes))
 
-/** One content in the table; its number is that of the change that made it. */
+/**
+ * The committed state of one content. Its number is that of its last change.
+ */
 struct QuarantineRow
 {
   std::uint64_t mNumber = 0;
@@ -61,7 +63,7 @@
 };
 BOOST_DESCRIBE_STRUCT(QuarantineRow, (), (mNumber, mChange))
 
-/** What an entry is update of one content. */
+/** The stage of one content as sent to entries. */
 struct QuarantineStatus
 {
   ContentId mContent;
@@ -71,7 +73,10 @@
 };
 BOOST_DESCRIBE_STRUCT(QuarantineStatus, (), (mContent, mStage))
 
-/** To an entry: the changes after mFrom up to mTo; from 0 it is the table. */
+/**
+ * Sent to an entry: the changes after mFrom, up to and including mTo. With
+ * mFrom 0 it is the whole table.
+ */
 struct QuarantineUpdate
 {
   std::uint64_t mFrom = 0;
@@ -83,22 +88,31 @@
 BOOST_DESCRIBE_STRUCT(QuarantineUpdate, (), (mFrom, mTo, mLines))
 
 /**
- * The contents that are treated unlike others; a part of what the control log
- * replicates, so that no restart, of however many processes, forgets it.
+ * The quarantined contents. The table is part of the state that the control log
+ * replicates, so that it survives restarts of any number of processes.
  */
 struct QuarantineTable
 {
-  /** Of the last change; entries that know nothing yet know 0. */
+  /**
+   * Number of the last change. It starts at 1; an entry without a table reports
+   * 0.
+   */
   std::uint64_t mNumber = 1;
-  /** Whoever knows less than this lacks a row that is kept no more. */
+  /**
+   * Entries whose known number is below this one get the whole table, because a
+   * row that they lack was evicted.
+   */
   std::uint64_t mMinDeltaBase = 0;
-  /** In rising order of their numbers; a content stands in one at most. */
+  /** Ordered by number; each content has at most one row. */
   std::vector<QuarantineRow> mRows;
 
-  /** Null where the content was never touched, or long ago. */
+  /** Returns null if the content has no row, or its row was evicted. */
   const QuarantineRow* Find(const ContentId& aContent) const;
   void Apply(const QuarantineChange& aChange);
-  /** What somebody who knows the changes up to aKnownNumber lacks. */
+  /**
+   * Returns the changes that an entry with the changes up to aKnownNumber
+   * lacks.
+   */
   QuarantineUpdate UpdateSince(std::uint64_t aKnownNumber) const;
 
   auto operator<=>(const QuarantineTable&) const = default;
--- a/include/peridotspool/routing/QuarantineGate.h
+++ b/include/peridotspool/routing/QuarantineGate.h
@@ -14,31 +14,34 @@
 
 namespace peridotspool::routing {
 
-/** What the gate says of one request. */
+/** The outcome of the quarantine check of one request. */
 enum class GateOutcome
 {
-  /** Like any other. */
+  /** The request runs without a permit. */
   kAllowed,
-  /** It has the permit of its content; Ended is to be called. */
+  /**
+   * The request holds the permit of its content. Call Ended, Answered or Lost
+   * when it is over.
+   */
   kHasPermit,
-  /** The leader is asked for its permit; a GateDecision follows. */
+  /** A permit was requested from the leader; a GateDecision follows. */
   kWaitsForPermit,
-  /** It ended three upstreams in a row. */
+  /** The content is refused: it was running in three consecutive crashes. */
   kRefused,
-  /** Its permit has not come in time. */
+  /** The permit was not granted in time. */
   kPermitTimeout,
 };
 
 struct GateResult
 {
   GateOutcome mOutcome = GateOutcome::kAllowed;
-  /** Names the request in later calls; set with kWaitsForPermit. */
+  /** Identifies the request in later calls; set with kWaitsForPermit. */
   std::uint64_t mTag = 0;
-  /** With kWaitsForPermit: what to send to the leader. */
+  /** The request to send to the leader; set with kWaitsForPermit. */
   PermitRequest mPermitRequest;
 };
 
-/** The late outcome of a request that waited. */
+/** The outcome for a request that waited for a permit. */
 struct GateDecision
 {
   std::uint64_t mTag = 0;
@@ -47,7 +50,7 @@
   auto operator<=>(const GateDecision&) const = default;
 };
 
-/** What is to be done for the gate. */
+/** What the caller of the gate has to carry out. */
 struct GateActions
 {
   std::vector<GateDecision> mDecisions;
@@ -56,40 +59,47 @@
 };
 
 /**
- * An entry's side of the quarantine: holds each request against the table that
- * the control group has committed, as far as it is known here. Contents that
- * aren't listed, which is nearly all, cost one look.
+ * Applies the quarantine at one entry: checks each request against the
+ * committed table as far as it is known here. A content that isn't listed, as
+ * nearly all are, costs a single lookup.
  *
- * A pure step; not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class QuarantineGate
 {
 public:
-  /** The last change known here; 0 for none. */
+  /** Number of the last change known here; 0 if there is none. */
   std::uint64_t KnownNumber() const { return mKnownNumber; }
   bool HasTable() const { return mKnownNumber != 0; }
   QuarantineStage StageOf(const ContentId& aContent) const;
   std::size_t ListedCount() const { return mListed.size(); }
 
-  /** Gives the requests that need not wait any more, and answers to contents
-   * that are listed from now on. */
+  /**
+   * Returns the decisions for requests that no longer need to wait, and reports
+   * of recent complete answers to contents that are listed from now on.
+   */
   GateActions ApplyUpdate(const QuarantineUpdate& aUpdate, TimePoint aNow);
   GateResult Check(const ContentId& aContent,
                    Duration aTimeLeft,
                    TimePoint aNow);
   std::optional<GateDecision> OnPermitResponse(const PermitResponse& aResponse);
-  /** About every 50 ms. */
+  /** Called about every 50 ms. */
   GateActions Tick(TimePoint aNow);
-  /** The caller of a request that waits has gone. */
+  /** Called when the caller of a waiting request has disconnected. */
   void Cancel(std::uint64_t aTag);
-  /** The request that has this permit was not run after all. */
+  /** Called when the request that holds this permit was not run. */
   RunEnded Ended(std::uint64_t aTag);
-  /** An upstream has answered a request completely; aTag is its permit, or 0.
-   * Returns what the leader is to be told, if anything. */
+  /**
+   * Called when an upstream has answered a request completely. aTag is its
+   * permit, or 0 for none. Returns the report for the leader, if one is needed.
+   */
   std::optional<RunEnded> Answered(std::uint64_t aTag,
                                    const ContentId& aContent,
                                    TimePoint aNow);
-  /** Its result was lost; what ended is not known yet. */
+  /**
+   * Called when the response was lost and it is not known yet whether the
+   * upstream crashed.
+   */
   void Lost(std::uint64_t aTag, TimePoint aNow);
 
 private:
@@ -103,7 +113,7 @@
   struct Permit
   {
     ContentId mContent;
-    /** When it is given back; unset while its request is being run. */
+    /** When the permit is released; unset while its request runs. */
     std::optional<TimePoint> mReleaseAt;
   };
 
--- a/include/peridotspool/routing/QuarantineManager.h
+++ b/include/peridotspool/routing/QuarantineManager.h
@@ -15,22 +15,23 @@
 namespace peridotspool::routing {
 
 /**
- * The control leader's account of contents under which upstreams ended. It
- * says how each is to be treated, and gives out the turns of those that run
- * once at a time.
+ * Tracks, on the control leader, the contents that were running when upstreams
+ * crashed. Determines the stage of each content and issues the permits of those
+ * that run one at a time.
  *
- * An upstream may end for reasons of its own, and hundreds of requests with it.
- * So a content is held back only after three ends in a row: each run sent after
- * the one before had ended, one of them the only run of the content, and no
- * complete response between.
+ * An upstream may crash for unrelated reasons while it runs hundreds of
+ * requests. Therefore a content is refused only after three consecutive
+ * crashes: each run was sent after the previous crash, at least one of them
+ * held the permit and so was the only run of the content, and no run was
+ * answered completely in between.
  *
- * A pure step; not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class QuarantineManager
 {
 public:
   QuarantineManager() = default;
-  /** A new leader begins with what is committed. */
+  /** Creates the state of a new leader from the committed table. */
   QuarantineManager(const QuarantineTable& aCommitted, TimePoint aNow);
 
   CrashReportAck HandleReport(const Address& aFrom,
@@ -44,9 +45,12 @@
   void HandleRunEnded(const Address& aFrom,
                       const RunEnded& aEnded,
                       TimePoint aNow);
-  /** An entry has refused a request of this content. */
+  /** Records that an entry refused a request of this content. */
   void RecordResubmission(const ContentId& aContent, TimePoint aNow);
-  /** Changes to commit; each comes again until it is committed. */
+  /**
+   * Returns the changes to commit. A change is returned again until it is
+   * committed.
+   */
   std::vector<QuarantineChange> PendingChanges(
     const QuarantineTable& aCommitted,
     TimePoint aNow);
@@ -69,7 +73,7 @@
   };
   struct Suspect
   {
-    /** Committed before this leader's time. */
+    /** Committed before this leader took over. */
     std::uint32_t mCommittedCount = 0;
     std::vector<CrashRecord> mCommittedCrashes;
     TimePoint mCommittedUntil;
@@ -99,11 +103,11 @@
   void ExpireSuspects(TimePoint aNow);
 
   std::unordered_map<ContentId, Suspect> mSuspects;
-  /** In the order in which they were touched; may name one more than once. */
+  /** Ordered by the time of the touch; may contain a content more than once. */
   std::deque<std::pair<TimePoint, ContentId>> mOrder;
-  /** Contents whose treatment may have to change. */
+  /** Contents whose stage may have to change. */
   std::set<ContentId> mDirty;
-  /** Committed changes up to this one have been looked at. */
+  /** Number of the last committed change that was applied here. */
   std::uint64_t mAppliedNumber = 0;
 };
 
--- a/include/peridotspool/routing/RetryBudget.h
+++ b/include/peridotspool/routing/RetryBudget.h
@@ -5,18 +5,19 @@
 
 namespace peridotspool::routing {
 
-/** How many retries a service may make for its first tries. */
+/** Bounds of the retries of a service. */
 struct RetryBudgetOptions
 {
-  /** Retries for each first try, 0 to 1. */
+  /** Retries per first attempt, from 0 to 1. */
   double mShare = 0.1;
-  /** Retries that may be saved up; also what a new budget starts with. */
+  /** Maximum retries that accumulate; also the budget at the start. */
   double mBurst = 10;
 };
 
 /**
- * Bounds the retries of one service as a share of its first tries, so that a
- * brown-out, where every try fails, adds at most that share to the load.
+ * Bounds the retries of one service to a share of its first attempts. In a
+ * brown-out, where every attempt fails, retries add at most that share to the
+ * load.
  */
 class RetryBudget
 {
@@ -32,7 +33,7 @@
     mTokens = std::min(mOptions.mBurst, mTokens + mOptions.mShare);
   }
 
-  /** Takes one retry; returns false iff the budget is spent. */
+  /** Consumes one retry; returns false iff the budget is exhausted. */
   bool TakeRetry()
   {
     if (mTokens < 1) {
@@ -42,7 +43,6 @@
     return true;
   }
 
-  /** Changes the share when the settings do. */
   void SetShare(double aShare) { mOptions.mShare = aShare; }
 
 private:
--- a/include/peridotspool/routing/RetryDecision.h
+++ b/include/peridotspool/routing/RetryDecision.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::routing {
 
-/** Try again after a pause. */
+/** Retry after a pause. */
 struct RetryAfterPause
 {
   Duration mPause{ 0 };
@@ -19,7 +19,7 @@
   auto operator<=>(const RetryAfterPause&) const = default;
 };
 
-/** Why a failed request is not tried again. */
+/** Why a failed request is not retried. */
 enum class NoRetry
 {
   kAttemptsSpent,
@@ -30,23 +30,23 @@
 
 using RetryDecision = std::variant<RetryAfterPause, NoRetry>;
 
-/** A request whose try has just failed. */
+/** A request whose last attempt has failed. */
 struct FailedAttempt
 {
-  /** Tries so far, this one included. */
+  /** Attempts so far, including the failed one. */
   std::uint64_t mAttempts = 1;
   TimePoint mDeadline;
-  /** The least time that another try needs. */
+  /** Minimum time that another attempt takes. */
   Duration mMinTime{ 0 };
-  /** Any number; the same number gives the same pause. */
+  /** Random bits for the pause; the same value gives the same pause. */
   std::uint64_t mRandom = 0;
 };
 
 /**
- * Decides whether a failed request is tried again, and after which pause: a
- * random one up to a bound that doubles with each try ("full jitter"), and
- * never so long that the deadline passes. Takes from the budget only when the
- * answer is to try again.
+ * Decides whether a failed request is retried, and after which pause: a random
+ * one up to a bound that doubles with each attempt ("full jitter"). It does not
+ * retry if the deadline would pass. Consumes budget only if the request is
+ * retried.
  */
 RetryDecision
 DecideRetry(const FailedAttempt& aAttempt,
--- a/include/peridotspool/routing/RouteChoice.h
+++ b/include/peridotspool/routing/RouteChoice.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::routing {
 
-/** One upstream that was weighed, with the parts of its score. */
+/** A candidate upstream with the parts of its score. */
 struct CandidateScore
 {
   UpstreamName mUpstream;
@@ -21,7 +21,7 @@
   double mTotal = 0;
 };
 
-/** The router's decision, with its reasons for `peridotctl explain`. */
+/** The chosen upstream, with the scores that `peridotctl explain` shows. */
 struct RouteChoice
 {
   UpstreamName mUpstream;
--- a/include/peridotspool/routing/RouteQuery.h
+++ b/include/peridotspool/routing/RouteQuery.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::routing {
 
-/** What the router needs to know of a request to choose its upstream. */
+/** The properties of a request that the choice of its upstream depends on. */
 struct RouteQuery
 {
   RequestKey mKey;
@@ -20,9 +20,12 @@
   /** Hashes of the prompt's leading blocks, longest prefix last. */
   std::vector<std::uint64_t> mPrefixBlocks;
   std::uint64_t mPromptTokens = 0;
-  /** Upstreams that this request must not go to again. */
+  /** Upstreams that this request must not be sent to again. */
   std::vector<UpstreamName> mAvoid;
-  /** Waiting beyond this weighs more; zero for no target. */
+  /**
+   * Target for the time to the first token. Time beyond it weighs more; zero
+   * for none.
+   */
   Duration mFirstTokenTarget{ 0 };
 };
 
--- a/include/peridotspool/routing/Router.h
+++ b/include/peridotspool/routing/Router.h
@@ -18,7 +18,7 @@
 
 class RouterState;
 
-/** How an attempt at an upstream ended, as far as routing cares. */
+/** How an attempt at an upstream ended. */
 enum class AttemptEnd
 {
   kCompleted,
@@ -28,12 +28,14 @@
 };
 
 /**
- * Chooses an upstream for each request from announcements that lag.
+ * Chooses an upstream for each request, based on announcements that are out of
+ * date.
  *
- * It knows only upstreams whose announcement's lease still holds, and never
- * chooses one that said it is leaving, whatever an older announcement says.
- * Pure: no clock, no thread; the same calls give the same choices. Not
- * thread-safe.
+ * It uses only upstreams whose announcement's lease is valid. It never chooses
+ * one that has announced that it leaves, even if an older announcement arrives
+ * later.
+ *
+ * Does no I/O, reads no clock and is deterministic. Not thread-safe.
  */
 class Router
 {
@@ -42,49 +44,52 @@
   ~Router();
 
   /**
-   * Takes an announcement that came directly or through another entry.
-   * Returns true iff it is newer than what was known and worth spreading.
+   * Applies an announcement, received from the upstream or forwarded by another
+   * entry. Returns true iff it is newer than the known one and has to be
+   * forwarded.
    */
   bool Announce(const UpstreamAnnouncement& aAnnouncement, TimePoint aNow);
 
-  /** Drops upstreams whose lease ran out and lets ejected ones back in. */
+  /** Removes upstreams whose lease has expired and readmits ejected ones. */
   void Tick(TimePoint aNow);
 
-  /** Returns the upstream to use, or empty with the reason in aReason. */
+  /** Returns the upstream to use; if there is none, sets aReason. */
   std::optional<RouteChoice> Choose(const RouteQuery& aQuery,
                                     TimePoint aNow,
                                     NoRoute& aReason);
 
-  /** Counts a request that was sent to the upstream. */
+  /** Records that a request was sent to the upstream. */
   void Sent(const UpstreamName& aUpstream,
             const RouteQuery& aQuery,
             TimePoint aNow);
 
-  /** Counts the end of a request that was sent. */
+  /** Records that a request that was sent has ended. */
   void Ended(const UpstreamName& aUpstream, AttemptEnd aEnd, TimePoint aNow);
 
-  /** Takes news of an engine's cache; late and gappy ones are fine. */
+  /**
+   * Applies changes of an engine's prefix cache; reports may be late or
+   * missing.
+   */
   void Cached(const CacheReport& aReport);
 
   /**
-   * Takes what the engine said of the request's prompt: how many of its tokens
-   * were cached. Corrects the prefix index.
+   * Applies the number of the prompt's tokens that the engine found in its
+   * cache, and corrects the prefix index.
    */
   void Answered(const UpstreamName& aUpstream,
                 const RouteQuery& aQuery,
                 std::uint64_t aCachedTokens);
 
-  /** Changes the weights, when the settings do. */
   void SetWeights(double aLatencyWeight, double aCostWeight);
 
-  /** How often an upstream was ejected so far. */
+  /** Number of ejections so far. */
   std::uint64_t Ejections() const;
 
-  /** Returns the announcement that holds for an upstream now, if any. */
+  /** Returns the upstream's announcement if its lease is valid. */
   std::optional<UpstreamAnnouncement> Find(const UpstreamName& aUpstream,
                                            TimePoint aNow) const;
 
-  /** The announcements that hold now, for status pages. */
+  /** Returns the announcements with a valid lease, for status pages. */
   std::vector<UpstreamAnnouncement> Upstreams(TimePoint aNow) const;
 
 private:
--- a/include/peridotspool/routing/RouterOptions.h
+++ b/include/peridotspool/routing/RouterOptions.h
@@ -7,36 +7,45 @@
 
 namespace peridotspool::routing {
 
-/** Weights and bounds of the router; the weights come from the settings. */
+/** Weights and bounds of the router. The weights come from the settings. */
 struct RouterOptions
 {
-  /** What one second of expected waiting weighs. */
+  /** Weight of one second of expected time to the first token. */
   double mLatencyWeight = 1.0;
-  /** What one currency unit an hour weighs. */
+  /** Weight of a price of one currency unit per hour. */
   double mCostWeight = 0.1;
-  /** How many upstreams are compared for one request. */
+  /** Upstreams that are compared for one request. */
   std::uint32_t mCandidates = 4;
-  /** True iff other entries send to the same upstreams, unseen by this one. */
+  /**
+   * True iff other entries send to the same upstreams without this entry's
+   * knowledge.
+   */
   bool mOtherEntriesSend = true;
-  /** Candidates weighed before a request is refused. */
+  /** Upstreams that are compared before a request is refused. */
   std::uint32_t mFallbackCandidates = 32;
   std::uint64_t mRandomSeed = 1;
   /**
-   * No announcement holds longer, whatever it says, so that a leaving upstream
-   * gets no new work from an entry that missed its leaving for longer.
+   * Maximum lease of an announcement, whatever it states. An entry that missed
+   * that an upstream leaves sends no new requests to it after this time.
    */
   Duration mMaxLease = std::chrono::seconds(2);
-  /** How long an upstream that is gone is remembered, against late news. */
+  /**
+   * How long an expired upstream is remembered, so that late announcements of
+   * it can be ignored.
+   */
   Duration mForgetAfter = std::chrono::minutes(10);
-  /** Upstreams known at once; more are not taken. */
+  /** Maximum number of known upstreams; further ones are ignored. */
   std::uint32_t mMaxUpstreams = 8192;
-  /** Requests waiting inside an upstream, for each of its slots. */
+  /** Maximum requests that wait inside an upstream, per slot. */
   double mMaxWaitingPerSlot = 4;
-  /** Expected time of a request before one has ended. */
+  /** Expected run time of a request before the first one has ended. */
   Duration mInitialHoldTime = std::chrono::milliseconds(500);
-  /** What an upstream's requests took counts for this long after the last. */
+  /**
+   * An upstream's own mean run time is used for this long after its last
+   * request.
+   */
   Duration mHoldTimeMaxAge = std::chrono::seconds(10);
-  /** Blocks of prompts that the prefix index holds (a power of two). */
+  /** Prompt blocks in the prefix index; a power of two. */
   std::uint32_t mPrefixBlocks = 1 << 16;
   EjectionOptions mEjection;
 };
--- a/include/peridotspool/routing/SharedLimit.h
+++ b/include/peridotspool/routing/SharedLimit.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::routing {
 
-/** Which limit a request would exceed. */
+/** The limit that a request would exceed. */
 enum class LimitReached
 {
   kRate,
@@ -19,13 +19,14 @@
 };
 BOOST_DESCRIBE_ENUM(LimitReached, kRate, kConcurrency)
 
-/** How long a share has to hold before a larger one is used. */
+/** Time after which a larger share takes effect. */
 inline constexpr Duration kShareSettleTime = std::chrono::seconds(3);
 
 /**
- * One entry's share of a customer's limits: the lowest of the parts of the last
- * kShareSettleTime. A smaller share counts at once, a larger one only when the
- * others have had the time to hear of what shrank theirs.
+ * One entry's share of a customer's limits. The lowest share within the last
+ * kShareSettleTime is in force: a smaller share takes effect at once, a larger
+ * one only after the other entries have had the time to receive what reduced
+ * theirs.
  */
 class SharedLimit
 {
@@ -34,21 +35,24 @@
 
   void SetShare(const settings::Limits& aShare, TimePoint aNow);
 
-  /** Counts a request in, or says which limit it would exceed. */
+  /** Counts the request, or returns the limit that it would exceed. */
   std::optional<LimitReached> TryAcquire(TimePoint aNow);
-  /** A request that was counted in has ended. */
+  /** Called when a counted request has ended. */
   void Release();
 
-  /** When to come back after the rate was reached. */
+  /** Returns the time until the rate permits the next request. */
   Duration UntilNext(TimePoint aNow);
-  /** Requests a second that were asked for lately, refused ones included. */
+  /**
+   * Returns the recent demand in requests per second, refused requests
+   * included.
+   */
   double Demand(TimePoint aNow);
-  /** The share that counts now. */
+  /** Returns the share that is in force. */
   const settings::Limits& InForce(TimePoint aNow);
   std::uint64_t InUse() const { return mInUse; }
 
 private:
-  /** A share, and since when it is the newest. */
+  /** A share, and the time when it was set. */
   struct Share
   {
     TimePoint mSince;
@@ -59,7 +63,7 @@
   void CountDemand(TimePoint aNow, double aRequests);
 
   settings::Limits mInForce;
-  /** Those that were the newest within the last kShareSettleTime. */
+  /** The shares that were the newest within the last kShareSettleTime. */
   std::deque<Share> mShares;
   TokenBucket mBucket;
   std::uint64_t mInUse = 0;
--- a/include/peridotspool/routing/TokenBucket.h
+++ b/include/peridotspool/routing/TokenBucket.h
@@ -4,19 +4,19 @@
 
 namespace peridotspool::routing {
 
-/** Bounds a rate, with a burst of one second's worth, at least one. */
+/** Bounds a rate. The burst is the tokens of one second, at least one. */
 class TokenBucket
 {
 public:
   explicit TokenBucket(double aRatePerSecond);
 
-  /** Changes the rate; what was saved up is kept as far as the burst allows. */
+  /** Changes the rate. Accumulated tokens are kept up to the new burst. */
   void SetRate(double aRatePerSecond, TimePoint aNow);
 
-  /** Returns true iff one may pass now. */
+  /** Consumes a token; returns false iff there is none. */
   bool Take(TimePoint aNow);
 
-  /** How long until one may pass; a day if the rate is zero. */
+  /** Returns the time until a token is available; a day if the rate is zero. */
   Duration UntilNext(TimePoint aNow);
 
 private:
--- a/include/peridotspool/routing/UpstreamReport.h
+++ b/include/peridotspool/routing/UpstreamReport.h
@@ -23,44 +23,49 @@
 enum class UpstreamState
 {
   kServing,
-  /** Finishes what it has and must get no new work. */
+  /** Finishes its running requests and must get no new ones. */
   kLeaving,
 };
 BOOST_DESCRIBE_ENUM(UpstreamState, kServing, kLeaving)
 
-/** What an upstream says of itself when it announces or renews its lease. */
+/**
+ * The state that an upstream announces when it registers or renews its lease.
+ */
 struct UpstreamAnnouncement
 {
   UpstreamName mName;
-  /** Rises with each life of the upstream's process. */
+  /** Increases with each restart of the upstream's process. */
   Incarnation mIncarnation;
-  /** Rises with each announcement of one life. */
+  /** Increases with each announcement of one incarnation. */
   std::uint64_t mSequence = 0;
   ServiceName mService;
   UpstreamKind mKind = UpstreamKind::kModelEngine;
   UpstreamState mState = UpstreamState::kServing;
   FailureDomain mDomain;
   Address mAddress;
-  /** Requests that it runs at once; beyond this they wait inside it. */
+  /** Requests that it runs concurrently; further ones wait inside it. */
   std::uint32_t mSlots = 1;
-  /** Price in millionths of a currency unit an hour. */
+  /** Price in millionths of a currency unit per hour. */
   std::uint64_t mPriceMicrosPerHour = 0;
   bool mReclaimable = false;
-  /** True iff its engine refuses an order with an old fencing number. */
+  /** True iff its engine rejects orders with an outdated fencing number. */
   bool mChecksFencing = false;
-  /** Load as of the moment of the announcement. */
+  /** Load at the time of the announcement. */
   std::uint32_t mRunning = 0;
   std::uint32_t mWaiting = 0;
-  /** Measured time to first token, without waiting, and between tokens. */
+  /** Measured time to the first token, without waiting, and between tokens. */
   Duration mFirstToken{ 0 };
   Duration mTokenGap{ 0 };
   std::vector<std::string> mModels;
   /**
-   * How long this announcement holds without renewal. Whoever passes it on
-   * takes off how long it held it.
+   * How long this announcement is valid without renewal. An entry that forwards
+   * it subtracts the time for which it held the announcement.
    */
   Duration mLease{ 0 };
-  /** How old the load is; whoever passes it on adds how long it held it. */
+  /**
+   * Age of the load. An entry that forwards the announcement adds the time for
+   * which it held it.
+   */
   Duration mLoadAge{ 0 };
 
   auto operator<=>(const UpstreamAnnouncement&) const = default;
--- a/src/routing/Admission.cpp
+++ b/src/routing/Admission.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Weight of the newest request in the mean time. */
+/** Weight of the newest request in the mean run time. */
 constexpr double kEwmaWeight = 0.1;
-/** When to come back after a limit on requests under way. */
+/** Minimum time after which a refused caller should retry. */
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
 
 } // namespace
@@ -23,8 +23,9 @@
 }
 
 /**
- * An entry that has published nothing has no demand, but it has its even part:
- * left out it would be let in by itself and not be counted by the others.
+ * An entry that has published nothing has no demand but counts as a member, so
+ * that it gets its even part. Otherwise it would admit requests by its own
+ * computation that the others don't account for.
  */
 settings::Limits
 Admission::ShareOf(const CustomerLimit& aLimit) const
@@ -81,7 +82,7 @@
   const Duration hold(static_cast<Duration::rep>(mHoldMicros));
   const Duration wait =
     runsAtOnce ? Duration(0) : ExpectedWait(aSettings.mCustomer);
-  // Told now, the caller can turn elsewhere; told at its deadline it can't.
+  // A caller that is refused now can go elsewhere; at its deadline it can't.
   if (aNow + wait >= aQuery.mDeadline) {
     return Refused{ .mReason = AdmissionReason::kDeadlineTooNear,
                     .mRetryAfter = std::max(wait, kMinRetryAfter) };
@@ -120,9 +121,9 @@
 }
 
 /**
- * The customer's own queue drains at no less than its share of the running
- * places, whatever the others ask; so this is an upper bound, and a request
- * that is refused for it might at best just have made it.
+ * Returns an upper bound of the wait: the customer's queue drains at least at
+ * its share of the slots, whatever the demand of the others. A request that is
+ * refused because of it might just have met its deadline.
  */
 Duration
 Admission::ExpectedWait(const CustomerName& aCustomer) const
--- a/src/routing/CrashDetector.cpp
+++ b/src/routing/CrashDetector.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-/** An upstream that is started again announces itself well within it. */
+/** A restarted upstream announces itself well within this time. */
 constexpr Duration kPendingTimeout = std::chrono::seconds(15);
-/** Answers of an crashes incarnation are lost on all connections at about once.
+/**
+ * A crashed incarnation loses its responses on all connections at nearly the
+ * same time, well within this time.
  */
 constexpr Duration kCrashRetention = std::chrono::seconds(60);
-/** Bounds of what is held while an end is in pending. */
+/** Bounds of the state kept while crashes are undecided. */
 constexpr std::size_t kMaxPending = 256;
 constexpr std::size_t kMaxLostPerIncarnation = 256;
 constexpr std::size_t kMaxCrashed = 4096;
@@ -78,7 +80,7 @@
   return crashes;
 }
 
-// Returns empty where no answer of this entry was lost by it.
+// Returns empty if no response to this entry was lost.
 std::optional<UpstreamCrash>
 CrashDetector::RecordCrash(const UpstreamIncarnation& aIncarnation,
                            CrashEvidence aCrashEvidence,
--- a/src/routing/CrashReporter.cpp
+++ b/src/routing/CrashReporter.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr Duration kReportResendInterval = std::chrono::milliseconds(300);
-/** As long as the leader holds it for evidence. */
+/** The same as the time for which the leader keeps the evidence. */
 constexpr Duration kMaxCrashAge = std::chrono::minutes(10);
 constexpr std::size_t kMaxBufferedCrashes = 1024;
-/** Lines of crash report: some 60 bytes each. */
+/** Each takes about 60 bytes in a report. */
 constexpr std::size_t kMaxCrashesPerReport = 64;
 
 std::uint32_t
--- a/src/routing/Ejection.h
+++ b/src/routing/Ejection.h
@@ -7,19 +7,27 @@
 
 namespace peridotspool::routing {
 
-/** Whether one upstream is to get no work for a while. */
+/**
+ * Tracks whether one upstream is ejected, that is, gets no requests for a
+ * while.
+ */
 class Ejection
 {
 public:
-  /** Counts an end; returns true iff the upstream should be ejected for it. */
+  /**
+   * Records the end of a request; returns true iff the upstream should be
+   * ejected.
+   */
   bool OnFailure(const EjectionOptions& aOptions);
   bool OnCompleted(Duration aDuration,
                    Duration aServiceMean,
                    const EjectionOptions& aOptions);
 
-  /** Ejects; the time doubles with each ejection that follows soon. */
+  /**
+   * Ejects the upstream. The duration doubles if the last ejection is recent.
+   */
   void Eject(const EjectionOptions& aOptions, TimePoint aNow);
-  /** Lets it back in; one more failure ejects again. */
+  /** Readmits the upstream; one more failure ejects it again. */
   void Readmit(const EjectionOptions& aOptions);
 
   bool IsEjected() const { return mEjected; }
--- a/src/routing/FairQueue.cpp
+++ b/src/routing/FairQueue.cpp
@@ -53,7 +53,8 @@
   if (customer.mSize >= room) {
     return false;
   }
-  // A customer that was away starts at the present, without credit for it.
+  // A customer that was idle starts at the current virtual time, without credit
+  // for the idle time.
   if (customer.mSize == 0) {
     customer.mFinish = std::max(customer.mFinish, mVirtualTime);
   }
@@ -74,8 +75,8 @@
 {
   const double left = StartTag(aLeft);
   const double right = StartTag(aRight);
-  // Without the bound on being burst, a large customer that marks everything
-  // urgent would leave nothing to the small ones.
+  // Without this bound on the lead, a large customer that marks every request
+  // urgent would starve the small ones.
   const double burst = mOptions.mUrgentBurst;
   const bool bothWithin = left <= mVirtualTime + burst / aLeft.mWeight &&
                           right <= mVirtualTime + burst / aRight.mWeight;
@@ -119,8 +120,9 @@
   if (best == nullptr) {
     return std::nullopt;
   }
-  // The minStart start tag of those that wait: an urgent request that was
-  // served burst of its turn does not move the others' present.
+  // Advances to the minimum start tag of all customers with queued requests. An
+  // urgent request that is served early therefore does not advance the virtual
+  // time of the others.
   mVirtualTime = std::max(mVirtualTime, minStart);
   const double start = StartTag(*best);
   QueuedRequest request = TakeFirst(*best);
--- a/src/routing/LimitShare.cpp
+++ b/src/routing/LimitShare.cpp
@@ -8,13 +8,17 @@
 
 namespace {
 
-/** Divided evenly at least, so that an entry can let a first request in. */
+/**
+ * Minimum fraction that is divided evenly, so that every entry can admit a
+ * first request.
+ */
 constexpr double kMinEvenFraction = 0.1;
 
 /**
- * Returns each entry's part of 1, in the order of the published demand. What
- * nobody asks for is divided evenly: a customer that is well below its limit is
- * not refused where its callers turn up next, before their demand is known.
+ * Returns the fraction of each entry, in the order of the published demand. The
+ * unused fraction is divided evenly: a customer well below its limit is then
+ * not refused at an entry that its callers have just moved to, before the
+ * demand there is published.
  */
 std::vector<double>
 Fractions(double aRate, const PublishedDemand& aPublished)
@@ -35,9 +39,9 @@
 }
 
 /**
- * Returns the whole part of an entry: all get the floor of their part, and
- * what is left over goes to those that remainder most by it. Rounding each up
- * on its own would let many entries exceed a small limit together.
+ * Returns an entry's share as an integer: all shares are rounded down, and the
+ * remaining units go to the entries with the largest remainders. Rounding up
+ * each share would let many entries together exceed a small limit.
  */
 std::uint64_t
 IntegerShare(std::uint64_t aTotal,
--- a/src/routing/LoadEstimate.cpp
+++ b/src/routing/LoadEstimate.cpp
@@ -6,7 +6,9 @@
 
 namespace {
 
-/** Steps kept for one upstream; older ones count as part of the report. */
+/**
+ * Changes stored for one upstream; older ones are added to the reported load.
+ */
 constexpr std::size_t kMaxSteps = 4096;
 
 } // namespace
@@ -15,8 +17,9 @@
 LoadEstimate::Report(std::uint32_t aLoad, TimePoint aReportTime)
 {
   mReported = aLoad;
-  // The time is reckoned from the arrival and may err by the way it duration;
-  // the steps up to the last report's time are gone, so it never goes back.
+  // The report's time is computed from its arrival and is wrong by the network
+  // delay. It never goes back, because the changes up to the last report's time
+  // were dropped.
   mReportTime = std::max(mReportTime, aReportTime);
   while (!mSteps.empty() && mSteps.front().mAt <= mReportTime) {
     mChanged -= mSteps.front().mChange;
--- a/src/routing/LoadEstimate.h
+++ b/src/routing/LoadEstimate.h
@@ -8,23 +8,27 @@
 namespace peridotspool::routing {
 
 /**
- * An upstream's load now, from a report that is old: the report, plus what
- * this entry sent since the report's time, less what ended here since.
+ * Estimates an upstream's current load from an older report: the reported load,
+ * plus the requests that this entry sent since, minus those that ended here
+ * since.
  */
 class LoadEstimate
 {
 public:
-  /** Takes a report of the load as it was at aReportTime. */
+  /** Applies a report of the load as of aReportTime. */
   void Report(std::uint32_t aLoad, TimePoint aReportTime);
   void Sent(TimePoint aNow);
-  /** Returns how long the request duration (first sent, first counted). */
+  /**
+   * Returns the duration of the request, assuming that requests end in the
+   * order in which they were sent.
+   */
   Duration Ended(TimePoint aNow);
-  /** Forgets everything: the upstream has a new life. */
+  /** Drops all state; called for a new incarnation. */
   void Reset();
 
   /**
-   * Requests at the upstream now; at least our own. What this entry sent and
-   * saw end since the report counts aOwnWeight times.
+   * Returns the requests at the upstream now, at least those of this entry.
+   * Changes by this entry since the report are multiplied by aOwnWeight.
    */
   double Load(double aOwnWeight) const;
   std::uint32_t Own() const
@@ -45,7 +49,7 @@
   std::int32_t mChanged = 0;
   TimePoint mReportTime = TimePoint::min();
   std::deque<Step> mSteps;
-  /** When our requests that run there were sent, oldest first. */
+  /** When this entry's running requests were sent, oldest first. */
   std::deque<TimePoint> mOwnSendTimes;
 };
 
--- a/src/routing/PrefixIndex.cpp
+++ b/src/routing/PrefixIndex.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Cells of one bucket; a block is only looked for in its bucket. */
+/** Cells per bucket; a block is stored and looked up in a single bucket. */
 constexpr std::size_t kWays = 4;
 
 } // namespace
@@ -50,7 +50,7 @@
     const bool same =
       cell.mBlock == aBlock && cell.mUpstream == aUpstream && IsCurrent(cell);
     if (same) {
-      // A guess must not take back what the engine itself said.
+      // A guess must not replace what the engine itself reported.
       aKnown = aKnown || (cell.mKnown && cell.mGeneration.mGaps ==
                                            GenerationOf(aUpstream).mGaps);
       target = &cell;
--- a/src/routing/PrefixIndex.h
+++ b/src/routing/PrefixIndex.h
@@ -8,20 +8,20 @@
 
 namespace peridotspool::routing {
 
-/** A place in the router's table of upstreams. */
+/** Index in the router's table of upstreams. */
 using UpstreamIndex = std::uint32_t;
 
-/** One upstream that may hold a prompt's leading blocks. */
+/** An upstream that may have a prompt's leading blocks in its cache. */
 struct PrefixHolder
 {
   UpstreamIndex mUpstream = 0;
-  /** How many leading blocks of the prompt. */
+  /** Number of leading blocks of the prompt. */
   std::uint32_t mBlocks = 0;
-  /** False where a gap, or a guess of ours, leaves it open. */
+  /** False if it is a guess, or reports were lost since. */
   bool mKnown = false;
 };
 
-/** Holders found for one prompt; at most this many. */
+/** Maximum number of holders found for one prompt. */
 inline constexpr std::size_t kMaxHolders = 2;
 struct PrefixMatch
 {
@@ -30,35 +30,37 @@
 };
 
 /**
- * Which upstream holds which blocks of prompts, as far as late and gappy news
- * tells. Memory is fixed: the oldest news of a bucket gives way.
+ * Tracks which upstream has which prompt blocks in its cache, from reports that
+ * may be late or lost. Memory is fixed: a new block replaces the oldest one of
+ * its bucket.
  */
 class PrefixIndex
 {
 public:
-  /** aBlocks is a power of two. */
+  /** aBlocks must be a power of two. */
   explicit PrefixIndex(std::uint32_t aBlocks);
 
-  /** Takes a block that the upstream surely (or by our guess) holds. */
+  /** Records that the upstream has a block; aKnown is false for a guess. */
   void Add(std::uint64_t aBlock, UpstreamIndex aUpstream, bool aKnown);
   /**
-   * Takes a whole prompt. Of a long one only some lengths are kept, the same
-   * for all prompts, so that a search finds what two prompts share.
+   * Records all blocks of a prompt. Of a long prompt only some prefix lengths
+   * are stored, the same for all prompts, so that the common prefix of two
+   * prompts is found.
    */
   void AddPrompt(std::span<const std::uint64_t> aBlocks,
                  UpstreamIndex aUpstream,
                  bool aKnown);
   void Remove(std::uint64_t aBlock, UpstreamIndex aUpstream);
-  /** All that is known of an upstream becomes a guess: news was lost. */
+  /** Makes all blocks of an upstream guesses; called when reports were lost. */
   void MarkUncertain(UpstreamIndex aUpstream);
-  /** Nothing is held any more: the upstream has a new life. */
+  /** Drops all blocks of an upstream; called for a new incarnation. */
   void Clear(UpstreamIndex aUpstream);
 
-  /** Finds holders of the longest prefix; the longest block is last. */
+  /** Finds the holders of the longest prefix; the longest block is last. */
   PrefixMatch Find(std::span<const std::uint64_t> aBlocks) const;
 
 private:
-  /** A number of an upstream's life, and of its gaps within the life. */
+  /** Counters of an upstream's incarnations and of its lost reports. */
   struct Generation
   {
     std::uint16_t mIncarnation = 0;
@@ -69,12 +71,12 @@
     std::uint64_t mBlock = 0;
     UpstreamIndex mUpstream = 0;
     Generation mGeneration;
-    /** When it was written, by count of writes; zero for an empty cell. */
+    /** Sequence number of the write, for eviction; zero for an empty cell. */
     std::uint32_t mStamp = 0;
     bool mKnown = false;
   };
 
-  /** Returns the next shorter length that is kept; zero for none. */
+  /** Returns the next shorter prefix length that is stored; zero for none. */
   static std::size_t IndexedBelow(std::size_t aLength);
   std::size_t BucketOf(std::uint64_t aBlock) const;
   Generation GenerationOf(UpstreamIndex aUpstream) const;
--- a/src/routing/Quarantine.cpp
+++ b/src/routing/Quarantine.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** A row is some 200 bytes; cleared ones are the first to go. */
+/** A row takes about 200 bytes. Cleared rows are evicted first. */
 constexpr std::size_t kMaxRows = 512;
-/** Lives named in a row, for operators. */
+/** Crashed incarnations listed in a row, for operators. */
 constexpr std::size_t kMaxCrashes = 8;
 
 auto
@@ -28,8 +28,8 @@
   return row == mRows.end() ? nullptr : &*row;
 }
 
-// A cleared row stays for a while: entries have to hear of it, and what ended
-// before it was cleared is no evidence any more.
+// A cleared row is kept for a while: entries have to receive the change, and
+// crashes from before it was cleared must not count as evidence again.
 void
 QuarantineTable::Apply(const QuarantineChange& aChange)
 {
--- a/src/routing/QuarantineGate.cpp
+++ b/src/routing/QuarantineGate.cpp
@@ -6,11 +6,16 @@
 
 namespace {
 
-/** A request waits this long for its permit; a run that is answered clears its
- * content for all that wait. */
+/**
+ * Maximum time that a request waits for a permit. A complete answer to the run
+ * that holds it clears the content for all that wait.
+ */
 constexpr Duration kMaxPermitWait = std::chrono::milliseconds(1000);
 constexpr Duration kPermitRetryInterval = std::chrono::milliseconds(100);
-/** By then it is known whether an upstream ended under the lost result. */
+/**
+ * By then the entry knows whether an upstream crashed when the response was
+ * lost.
+ */
 constexpr Duration kPermitReleaseDelay = std::chrono::milliseconds(1000);
 
 std::uint32_t
@@ -30,11 +35,12 @@
   return listed == mListed.end() ? QuarantineStage::kCleared : listed->second;
 }
 
-// Changes that don't follow on what is known are left: the next report says
-// what is known here, and the leader tells the rest.
+// Ignores changes that don't follow the last known one: the next report to the
+// leader contains the known number, and the leader sends what is missing.
 //
-// The leader hears of ends only. That a content was answered a thousand times
-// between two of them is known here, and clears it at once.
+// The leader receives crashes only. Complete answers between two crashes, which
+// may be thousands, are known only at the entries. Reporting the last one when
+// the content is listed clears it at once.
 GateActions
 QuarantineGate::ApplyUpdate(const QuarantineUpdate& aUpdate, TimePoint aNow)
 {
@@ -98,7 +104,7 @@
   return result;
 }
 
-// A refused permit is asked for again: that of another request ends.
+// A denied permit is requested again, because the request that holds it ends.
 std::optional<GateDecision>
 QuarantineGate::OnPermitResponse(const PermitResponse& aResponse)
 {
@@ -150,8 +156,9 @@
   return actions;
 }
 
-// Its permit may be granted at this moment: it is given back, behind the
-// question for it, as one that is over.
+// The leader may be granting the permit at this moment. It is therefore
+// released as if it had been held, by a message that follows the permit
+// request.
 void
 QuarantineGate::Cancel(std::uint64_t aTag)
 {
@@ -188,8 +195,8 @@
   return ended;
 }
 
-// Given back at once, the permit would go to the next request before the leader
-// has heard what the last one did.
+// If the permit were released at once, the next request could get it before the
+// leader receives the crash report of the previous one.
 void
 QuarantineGate::Lost(std::uint64_t aTag, TimePoint aNow)
 {
--- a/src/routing/QuarantineManager.cpp
+++ b/src/routing/QuarantineManager.cpp
@@ -7,25 +7,31 @@
 
 namespace {
 
-/** Ends in a row after which a content isn't run any more. */
+/** Consecutive crashes after which a content is refused. */
 constexpr std::uint32_t kCrashesToRefuse = 3;
-/** Ends after which it runs once at a time. */
+/** Crashes after which a content runs one at a time. */
 constexpr std::size_t kCrashesToSerialize = 2;
 /**
- * Ages cross the network with the report, so that a run may look later than it
- * was by as much as a message takes. A run that had a permit began after the
- * ends before it in any case.
+ * The ages in a report don't include the time that the message took, so that a
+ * run may seem to have been sent later than it was. Runs with a permit need no
+ * margin: they started after all earlier crashes in any case.
  */
 constexpr Duration kSequenceMargin = std::chrono::milliseconds(250);
-/** A content that nothing was heard of for this long is like any other. */
+/** A content without events for this long is no longer suspected. */
 constexpr Duration kSuspectRetention = std::chrono::minutes(10);
 constexpr Duration kRefusalRetention = std::chrono::hours(1);
 constexpr Duration kMaxPermitTime = std::chrono::seconds(30);
 constexpr Duration kProposalRetryInterval = std::chrono::seconds(1);
 constexpr Duration kTouchInterval = std::chrono::seconds(1);
-/** When hundreds of upstreams end at once, each request there is a suspect. */
+/**
+ * When hundreds of upstreams crash at once, every request that they ran becomes
+ * a suspect.
+ */
 constexpr std::size_t kMaxSuspects = 4096;
-/** Evidence of one content; by then it is refused or runs once at a time. */
+/**
+ * Crashes stored for one content. A content that reaches this many is refused
+ * or runs one at a time already.
+ */
 constexpr std::size_t kMaxCrashes = 16;
 
 std::uint32_t
@@ -35,8 +41,9 @@
   return std::min(aMs, kMaxAgeMs);
 }
 
-// Ends of the only copy that ran tell the most. The first end of all stays as
-// well: one that has to yield, among so many, ended beside others.
+// Crashes of runs with a permit are the strongest evidence, so they replace
+// others. The first crash is never replaced. The others can be: with so many
+// crashes they are of runs that went on side by side.
 template<typename Crashes>
 bool
 HasRoom(Crashes& aCrashes, bool aHadPermit)
@@ -116,7 +123,8 @@
       suspect.mPermit->mFrom == aFrom) {
     suspect.mPermit.reset();
   }
-  // One life counts once, however many copies of the content it was running.
+  // One incarnation counts once, however many copies of the content it was
+  // running.
   if (!IsKnown(suspect, record) &&
       HasRoom(suspect.mCrashes, aReported.mHadPermit)) {
     const Crash crash{
@@ -150,9 +158,9 @@
                      [&](const Crash& aOne) { return same(aOne.mRecord); });
 }
 
-// Copies that ran at the same time and ended together show one cause only,
-// which may be any: a power supply, a bad release. Each end that counts is of a
-// run that was sent after the end before it.
+// Copies that ran at the same time and crashed together show a single cause,
+// which may be unrelated, such as a power failure or a bad release. Therefore a
+// crash counts only if its run was sent after the previous counted crash.
 std::uint32_t
 QuarantineManager::CountSequential(const Suspect& aSuspect)
 {
@@ -168,8 +176,9 @@
   return counted;
 }
 
-// Of a content that many ask for, some copy is at nearly every upstream that
-// ends. What nothing else explains is an end under the one copy that runs.
+// Nearly every upstream that crashes is running some copy of a popular content.
+// Only a crash during the only run of the content is evidence that no other
+// cause explains.
 bool
 QuarantineManager::HadPermit(const Suspect& aSuspect)
 {
@@ -223,8 +232,8 @@
   return response;
 }
 
-// Whatever an upstream can response does not end it: what ended before was
-// ended by something else.
+// A complete answer shows that the content does not crash upstreams, so that
+// crashes before it had another cause.
 void
 QuarantineManager::HandleRunEnded(const Address& aFrom,
                                   const RunEnded& aEnded,
@@ -283,8 +292,8 @@
   }
 }
 
-// The ones that go first are those that one life ended under: nearly all of
-// them were only there when it happened.
+// Evicts suspects with a single crash first: nearly all of them were merely
+// running when an upstream crashed.
 void
 QuarantineManager::EvictSuspects()
 {
@@ -332,7 +341,8 @@
   }
 }
 
-// What was committed since: by this leader, or by an operator who lifts it.
+// Applies changes committed since the last call, by this leader or by an operator
+// who lifted a quarantine.
 void
 QuarantineManager::SyncCommitted(const QuarantineTable& aCommitted)
 {
@@ -344,7 +354,7 @@
     mDirty.insert(content);
     const auto found = mSuspects.find(content);
     if (row.mChange.mStage != QuarantineStage::kCleared) {
-      // Without evidence any more it is to be cleared again.
+      // Without evidence for it, the content is going to be cleared again.
       mSuspects.try_emplace(content);
     } else if (found != mSuspects.end() && !found->second.mAnswered) {
       mSuspects.erase(found);
--- a/src/routing/RandomSource.h
+++ b/src/routing/RandomSource.h
@@ -4,7 +4,7 @@
 
 namespace peridotspool::routing {
 
-/** A small seeded generator (splitmix64): the same seed, the same numbers. */
+/** A small deterministic generator (splitmix64). */
 class RandomSource
 {
 public:
@@ -22,7 +22,7 @@
     return mixed ^ (mixed >> 31);
   }
 
-  /** Returns a number below aBound, which is not zero. */
+  /** Returns a number below aBound, which must not be zero. */
   std::uint32_t Below(std::uint32_t aBound)
   {
     return static_cast<std::uint32_t>(((Next() >> 32) * aBound) >> 32);
--- a/src/routing/RetryDecision.cpp
+++ b/src/routing/RetryDecision.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Doublings after which the bound is at its longest in any case. */
+/** After this many doublings the bound is at its maximum in any case. */
 constexpr std::uint64_t kMaxDoublings = 20;
 
 Duration
@@ -32,7 +32,7 @@
     return NoRetry::kAttemptsSpent;
   }
   const Duration pause = JitteredPause(aAttempt, aRules);
-  // A retry that can't end in time only takes an upstream's time from others.
+  // A retry that can't finish in time only takes upstream capacity from others.
   if (aNow + pause + aAttempt.mMinTime >= aAttempt.mDeadline) {
     return NoRetry::kDeadlineTooNear;
   }
--- a/src/routing/RouterState.cpp
+++ b/src/routing/RouterState.cpp
@@ -47,7 +47,7 @@
   EvaluateSample(evaluation, mOptions.mCandidates, *pool, aQuery, aNow);
   const Candidate* best = Best(evaluation);
   if (best == nullptr) {
-    // A few bad candidates are no ground for a refusal: look at more.
+    // A few unusable candidates are no reason to refuse: compare more.
     EvaluateSample(
       evaluation, mOptions.mFallbackCandidates, *pool, aQuery, aNow);
     best = Best(evaluation);
@@ -101,8 +101,9 @@
   if (size == 0) {
     return;
   }
-  // A small service is weighed all; of a large one, random ones: every entry
-  // taking the best of the same stale reports would send them all to one.
+  // All upstreams of a small service are compared. Of a large one, a random
+  // sample is: if every entry took the best according to the same stale
+  // reports, all requests would go to the same upstream.
   const bool all = size <= aWanted;
   const std::uint32_t tries = all ? size : aWanted;
   for (std::uint32_t at = 0; at < tries; ++at) {
@@ -224,8 +225,9 @@
       aReport.mSequence <= detail.mCacheSequence) {
     return;
   }
-  // After a gap a block that we believe held may have been removed; believing
-  // on would send prompts to an upstream that computes them all again.
+  // After lost reports, a block that the index has may have been removed.
+  // Trusting the index would send prompts to an upstream that has to compute
+  // them again.
   if (detail.mCacheSequence != 0 &&
       aReport.mSequence != detail.mCacheSequence + 1) {
     mPrefixes.MarkUncertain(*index);
@@ -259,7 +261,7 @@
     float& rate = mTable.Stats(aIndex).mGuessRate;
     rate += kGuessEwmaWeight * (right - rate);
   }
-  // The all prompt is in the engine's cache now: it has just computed it.
+  // The engine has just computed the whole prompt, so it is in its cache.
   mPrefixes.AddPrompt(aQuery.mPrefixBlocks, aIndex, true);
 }
 
--- a/src/routing/RouterState.h
+++ b/src/routing/RouterState.h
@@ -10,10 +10,10 @@
 
 namespace peridotspool::routing {
 
-/** Most candidates that one decision weighs. */
+/** Maximum candidates of one decision. */
 inline constexpr std::size_t kMaxCandidates = 64;
 
-/** The router's parts, and one decision over them. */
+/** The state of the router. */
 class RouterState
 {
 public:
@@ -26,7 +26,7 @@
   void Answered(UpstreamIndex aIndex,
                 const RouteQuery& aQuery,
                 std::uint64_t aCachedTokens);
-  /** The prompt will be in the upstream's cache, as far as we can guess. */
+  /** Records the prompt as a guess for the upstream's cache. */
   void GuessCached(UpstreamIndex aIndex, const RouteQuery& aQuery);
 
   RouterOptions mOptions;
--- a/src/routing/Score.cpp
+++ b/src/routing/Score.cpp
@@ -8,26 +8,31 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-/** A second beyond the first token's target weighs as many. */
+/** A second beyond the first token target weighs as much as this many. */
 constexpr double kOverTargetWeight = 4;
-/** What an answer expected after its deadline weighs, in seconds. */
+/** Penalty in seconds for a response that is expected after its deadline. */
 constexpr double kDeadlinePenaltySeconds = 10;
-/** The part of the target up to which the price counts. */
+/** Fraction of the target up to which the price counts. */
 constexpr double kPriceTargetFraction = 0.5;
-/** Requests of other entries that are on their way to an upstream. */
+/**
+ * Expected requests of other entries that were sent to an upstream but not
+ * reported yet.
+ */
 constexpr double kUnseenRequests = 0.5;
 /**
- * How much longer a prompt takes in a full batch. More than the batch alone
- * costs: a busy upstream is also likelier to be found full on arrival.
+ * Slowdown of the prefill in a full batch. It is larger than the cost of the
+ * batch alone, because a busy upstream is also more likely to be full when the
+ * request arrives.
  */
 constexpr double kBatchSlowdown = 3;
-/** Part of a prompt's time that a full cache hit saves. */
+/** Fraction of the prefill time that a full cache hit saves. */
 constexpr double kCacheSavings = 0.9;
 
-// An upstream's own mean changes only with what is sent there. One that was
-// slow while too much was sent there would be kept out by it for good: it had
-// none of 160 requests in the 80 s after it, and has its part 10 s after it now
-// (SlowOnceTest). So the mean holds for a while, then its service's does.
+// An upstream's own mean changes only with the requests that it receives. If
+// only that mean counted, an upstream that was slow under overload would never
+// be chosen again: in SlowOnceTest it received none of the 160 requests in the
+// 80 s after it had recovered. Therefore the mean expires, and the mean of the
+// service is used instead; the upstream then gets its share again after 10 s.
 double
 HoldMicros(const CandidateFacts& aFacts,
            const RouterOptions& aOptions,
@@ -41,7 +46,7 @@
            : static_cast<double>(aOptions.mInitialHoldTime.count());
 }
 
-/** Returns the expected wait for a slot inside the upstream. */
+/** Returns the expected time to wait for a slot inside the upstream. */
 double
 WaitMicros(const UpstreamStats& aFigures,
            double aHold,
@@ -52,7 +57,7 @@
   return ahead > 0 ? ahead * aHold / aFigures.mSlots : 0;
 }
 
-/** Returns the time of the prompt: a batch shares the engine. */
+/** Returns the expected prefill time. Requests of a batch share the engine. */
 double
 PrefillMicros(const CandidateFacts& aFacts, const RouteQuery& aQuery)
 {
@@ -68,9 +73,9 @@
 }
 
 /**
- * Returns how far the price counts: wholly for a request that surely keeps its
- * target, not at all for one that may miss it. A price that counts always
- * crowds the cheap upstreams until all that use them are late.
+ * Returns the weight of the price: 1 for a request that surely meets its
+ * target, 0 for one that may miss it. If the price always counted, cheap
+ * upstreams would be overloaded until all requests on them were late.
  */
 double
 PriceWeight(double aFirstTokenMicros, double aTarget)
--- a/src/routing/Score.h
+++ b/src/routing/Score.h
@@ -6,19 +6,19 @@
 
 namespace peridotspool::routing {
 
-/** What a decision knows of one candidate besides its stats. */
+/** Inputs of one candidate's score. */
 struct CandidateFacts
 {
   UpstreamStats mStats;
-  /** Mean time of the service's requests; zero if none has ended. */
+  /** Mean run time of the service's requests; zero if none has ended. */
   double mServiceHoldMicros = 0;
-  /** Of the service's upstreams. */
+  /** Highest price of the service's upstreams. */
   double mHighestPrice = 0;
-  /** Tokens of the prompt expected in its cache. */
+  /** Tokens of the prompt that are expected in the upstream's cache. */
   double mCachedTokens = 0;
 };
 
-/** The parts of one candidate's score; less is better. */
+/** The parts of one candidate's score; lower is better. */
 struct ScoreParts
 {
   double mFirstTokenMicros = 0;
@@ -32,7 +32,7 @@
   bool IsUsable() const { return !mQueueFull && !mMissesDeadline; }
 };
 
-/** Scores one candidate: the expected time first, then its price. */
+/** Scores one candidate by its expected time and its price. */
 ScoreParts
 ScoreCandidate(const CandidateFacts& aFacts,
                const RouteQuery& aQuery,
--- a/src/routing/SharedLimit.cpp
+++ b/src/routing/SharedLimit.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Time over which demand is averaged. */
+/** Time constant of the demand's moving average. */
 constexpr double kDemandMicros = 2e6;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr std::size_t kMaxShares = 64;
@@ -32,7 +32,7 @@
 void
 SharedLimit::SetShare(const settings::Limits& aShare, TimePoint aNow)
 {
-  // Too many parts for the window: the oldest two count as the lesser.
+  // Too many shares for the window: merge the oldest two into the lower one.
   if (mShares.size() == kMaxShares) {
     mShares[1].mLimits = Min(mShares[0].mLimits, mShares[1].mLimits);
     mShares.pop_front();
--- a/src/routing/Upstream.h
+++ b/src/routing/Upstream.h
@@ -10,19 +10,22 @@
 
 namespace peridotspool::routing {
 
-/** What a decision reads of one upstream: small, so that many stay cached. */
+/**
+ * The data of one upstream that each decision reads. Kept small, so that many
+ * upstreams fit into the processor's cache.
+ */
 struct UpstreamStats
 {
-  /** When the announcement's lease ends. */
+  /** When the announcement's lease expires. */
   TimePoint mExpires;
   float mLoad = 0;
   std::uint32_t mSlots = 1;
   float mFirstTokenMicros = 0;
-  /** Mean time that a request holds a slot; zero before one has ended. */
+  /** Mean time that a request holds a slot; zero before the first has ended. */
   float mHoldMicros = 0;
-  /** When that is too old to go by. */
+  /** When mHoldMicros expires. */
   TimePoint mHoldExpires;
-  /** Currency units an hour. */
+  /** In currency units per hour. */
   float mPrice = 0;
   /** Share of guessed prefixes that the engine confirmed. */
   float mGuessRate = 0.5F;
@@ -31,7 +34,7 @@
 inline constexpr std::uint32_t kNotServing =
   std::numeric_limits<std::uint32_t>::max();
 
-/** The rest of one upstream. */
+/** The data of one upstream that decisions rarely read. */
 struct UpstreamDetail
 {
   UpstreamAnnouncement mAnnouncement;
@@ -39,9 +42,9 @@
   Ejection mEjection;
   /** A leaving upstream stays leaving until it has a new incarnation. */
   bool mLeaving = false;
-  /** Place in its service's list of serving upstreams, or kNotServing. */
+  /** Index in its service's list of serving upstreams, or kNotServing. */
   std::uint32_t mServingIndex = kNotServing;
-  /** When it is forgotten, with all that is known of its incarnations. */
+  /** When the upstream is forgotten, including its incarnation. */
   TimePoint mForgetAt;
   std::uint64_t mCacheSequence = 0;
 };
--- a/src/routing/UpstreamTable.cpp
+++ b/src/routing/UpstreamTable.cpp
@@ -8,9 +8,10 @@
 
 constexpr double kMicrosPerUnit = 1e6;
 /**
- * What this entry sent since a report stands for what the others sent too. The
- * true factor is their number, but one entry's few sends are a noisy measure
- * of it; the queue model's stats are best at two to three.
+ * Weight of this entry's own sends since a report. They also represent what
+ * other entries sent. The exact factor is the number of entries, but the few
+ * sends of one entry are a noisy sample; the queue model gives the best results
+ * at two to three.
  */
 constexpr double kOwnSendWeight = 2;
 /** Weight of the newest request in the mean times. */
@@ -96,9 +97,10 @@
     detail = UpstreamDetail();
     mStats[index] = UpstreamStats();
   }
-  // An upstream that has said it leaves is sure to go. News of the same life
-  // that says otherwise was sent before, or by mistake; taking it would give
-  // new work to an instance that is about to be taken away.
+  // An upstream that has announced that it leaves does leave. A contradicting
+  // announcement of the same incarnation was sent earlier or by mistake;
+  // applying it would send new requests to an instance that is about to be
+  // terminated.
   detail.mLeaving =
     detail.mLeaving || aAnnouncement.mState == UpstreamState::kLeaving;
   detail.mAnnouncement = aAnnouncement;
@@ -211,8 +213,8 @@
 UpstreamTable::Ended(UpstreamIndex aIndex, AttemptEnd aEnd, TimePoint aNow)
 {
   UpstreamDetail& detail = mDetails[aIndex];
-  // An end whose sending was forgotten, with the life it belonged to, says
-  // nothing about the present one.
+  // The request was sent to an earlier incarnation, whose state was dropped.
+  // Its end says nothing about the current one.
   if (detail.mLoad.Own() == 0) {
     return;
   }
@@ -246,9 +248,9 @@
 }
 
 /**
- * Ejects unless too many are ejected already: when most of a service fails,
- * the cause is not one upstream, and ejecting on would send everything to the
- * last one standing and bring it down too.
+ * Ejects the upstream unless too many are ejected already. When most of a
+ * service fails, the cause is not a single upstream; further ejections would
+ * send all requests to the last ones and overload them too.
  */
 void
 UpstreamTable::TryEject(UpstreamIndex aIndex, TimePoint aNow)
--- a/src/routing/UpstreamTable.h
+++ b/src/routing/UpstreamTable.h
@@ -13,11 +13,13 @@
 struct ServicePool
 {
   std::vector<UpstreamIndex> mServing;
-  /** Present but ejected. */
+  /** Number of present but ejected upstreams. */
   std::uint32_t mEjected = 0;
-  /** Mean time that a request takes at any of them; zero before one ended. */
+  /**
+   * Mean run time of the service's requests; zero before the first has ended.
+   */
   double mHoldMicros = 0;
-  /** Highest price that any of them has announced. */
+  /** Highest price that any upstream has announced. */
   double mHighestPrice = 0;
 };
 
@@ -29,7 +31,7 @@
 };
 
 /**
- * The directory of upstreams: announcements as leases, and for each service
+ * The known upstreams, with their announcements as leases, and for each service
  * the list of those that may be chosen.
  */
 class UpstreamTable
@@ -37,12 +39,12 @@
 public:
   explicit UpstreamTable(const RouterOptions& aOptions);
 
-  /** Empty iff the announcement is not newer than what is known. */
+  /** Returns empty iff the announcement is not newer than the known one. */
   std::optional<AnnouncementResult> Announce(
     const UpstreamAnnouncement& aAnnouncement,
     TimePoint aNow);
 
-  /** Takes out what has expired and lets ejected ones back in. */
+  /** Removes expired upstreams and readmits ejected ones. */
   void Tick(TimePoint aNow);
   void Sent(UpstreamIndex aIndex, TimePoint aNow);
   void Ended(UpstreamIndex aIndex, AttemptEnd aEnd, TimePoint aNow);
@@ -63,10 +65,10 @@
   std::uint64_t Ejections() const { return mEjections; }
 
 private:
-  /** Returns true iff it is newer than what is known of its upstream. */
+  /** Returns true iff it is newer than the known one of its upstream. */
   bool IsNewer(const UpstreamAnnouncement& aAnnouncement) const;
   UpstreamIndex IndexOf(const UpstreamAnnouncement& aAnnouncement);
-  /** Reckons the upstream's load anew. */
+  /** Recomputes the upstream's estimated load. */
   void UpdateLoad(UpstreamIndex aIndex);
   void UpdateStats(UpstreamIndex aIndex, TimePoint aNow);
   void UpdateServing(UpstreamIndex aIndex, TimePoint aNow);
