--- a/include/peridotspool/routing/CrashReport.h
+++ b/include/peridotspool/routing/CrashReport.h
@@ -17,8 +17,8 @@
   UpstreamName mUpstream;
   Incarnation mIncarnation;
   /** Age when the report was sent, in milliseconds. */
-  std::uint32_t mSentAgoMs = 0;
-  std::uint32_t mLostAgoMs = 0;
+  std::uint32_t mSentAgeMs = 0;
+  std::uint32_t mLostAgeMs = 0;
   /** The run held the permit of a content that runs one at a time. */
   bool mHadPermit = false;
 
@@ -27,7 +27,7 @@
 BOOST_DESCRIBE_STRUCT(
   ReportedCrash,
   (),
-  (mContent, mUpstream, mIncarnation, mSentAgoMs, mLostAgoMs, mHadPermit))
+  (mContent, mUpstream, mIncarnation, mSentAgeMs, mLostAgeMs, mHadPermit))
 
 /** Sent by an entry to the control leader until acknowledged. */
 struct CrashReport
@@ -80,10 +80,10 @@
   /** An upstream has answered the request completely. */
   bool mAnswered = false;
   /** Age of the answer when this was sent, in milliseconds. */
-  std::uint32_t mAgoMs = 0;
+  std::uint32_t mAgeMs = 0;
 
   auto operator<=>(const RunEnded&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(RunEnded, (), (mContent, mTag, mAnswered, mAgoMs))
+BOOST_DESCRIBE_STRUCT(RunEnded, (), (mContent, mTag, mAnswered, mAgeMs))
 
 } // namespace peridotspool::routing
--- a/src/routing/Admission.cpp
+++ b/src/routing/Admission.cpp
@@ -129,12 +129,12 @@
 Admission::ExpectedWait(const CustomerName& aCustomer) const
 {
   const double share = std::max(0.001, mQueue.ShareOf(aCustomer));
-  const auto places =
+  const auto slots =
     static_cast<double>(std::max<std::size_t>(1, mOptions.mMaxRunning));
   const double ahead =
     std::min(static_cast<double>(mQueue.SizeOf(aCustomer) + 1) / share,
              static_cast<double>(mQueue.Size() + 1));
-  return Duration(static_cast<Duration::rep>(ahead * mHoldMicros / places));
+  return Duration(static_cast<Duration::rep>(ahead * mHoldMicros / slots));
 }
 
 void
--- a/src/routing/CrashReporter.cpp
+++ b/src/routing/CrashReporter.cpp
@@ -60,8 +60,8 @@
     report.mLines.push_back({ .mContent = crash.mLost.mContent,
                               .mUpstream = crash.mUpstream.mName,
                               .mIncarnation = crash.mUpstream.mIncarnation,
-                              .mSentAgoMs = AgeMs(crash.mLost.mSentAt, aNow),
-                              .mLostAgoMs = AgeMs(crash.mLost.mLostAt, aNow),
+                              .mSentAgeMs = AgeMs(crash.mLost.mSentAt, aNow),
+                              .mLostAgeMs = AgeMs(crash.mLost.mLostAt, aNow),
                               .mHadPermit = crash.mLost.mHadPermit });
   }
   if (report.mLines.empty()) {
--- a/src/routing/QuarantineGate.cpp
+++ b/src/routing/QuarantineGate.cpp
@@ -61,7 +61,7 @@
       actions.mEnded.push_back({ .mContent = status.mContent,
                                  .mTag = 0,
                                  .mAnswered = true,
-                                 .mAgoMs = ToMs(*age) });
+                                 .mAgeMs = ToMs(*age) });
     }
   }
   std::erase_if(mWaiting, [&](const auto& aPair) {
--- a/src/routing/QuarantineManager.cpp
+++ b/src/routing/QuarantineManager.cpp
@@ -35,7 +35,7 @@
 constexpr std::size_t kMaxCrashes = 16;
 
 std::uint32_t
-CapMs(std::uint32_t aMs)
+CapAgeMs(std::uint32_t aMs)
 {
   constexpr std::uint32_t kMaxAgeMs = 600000;
   return std::min(aMs, kMaxAgeMs);
@@ -46,7 +46,7 @@
 // crashes they are of runs that went on side by side.
 template<typename Crashes>
 bool
-HasRoom(Crashes& aCrashes, bool aHadPermit)
+MakeRoomFor(Crashes& aCrashes, bool aHadPermit)
 {
   if (aCrashes.size() < kMaxCrashes) {
     return true;
@@ -126,13 +126,13 @@
   // One incarnation counts once, however many copies of the content it was
   // running.
   if (!IsKnown(suspect, record) &&
-      HasRoom(suspect.mCrashes, aReported.mHadPermit)) {
-    const Crash crash{
-      .mRecord = record,
-      .mSentAt = aNow - std::chrono::milliseconds(CapMs(aReported.mSentAgoMs)),
-      .mLostAt = aNow - std::chrono::milliseconds(CapMs(aReported.mLostAgoMs)),
-      .mHadPermit = aReported.mHadPermit
-    };
+      MakeRoomFor(suspect.mCrashes, aReported.mHadPermit)) {
+    const Crash crash{ .mRecord = record,
+                       .mSentAt = aNow - std::chrono::milliseconds(
+                                           CapAgeMs(aReported.mSentAgeMs)),
+                       .mLostAt = aNow - std::chrono::milliseconds(
+                                           CapAgeMs(aReported.mLostAgeMs)),
+                       .mHadPermit = aReported.mHadPermit };
     const auto place = std::find_if(
       suspect.mCrashes.begin(), suspect.mCrashes.end(), [&](const Crash& aOne) {
         return aOne.mLostAt > crash.mLostAt;
@@ -250,7 +250,7 @@
   }
   if (aEnded.mAnswered) {
     const TimePoint answeredAt =
-      aNow - std::chrono::milliseconds(CapMs(aEnded.mAgoMs));
+      aNow - std::chrono::milliseconds(CapAgeMs(aEnded.mAgeMs));
     DropCrashesBefore(answeredAt, suspect);
     mDirty.insert(aEnded.mContent);
   }
--- a/src/routing/RouterState.cpp
+++ b/src/routing/RouterState.cpp
@@ -123,8 +123,8 @@
                       TimePoint aNow)
 {
   const UpstreamStats& stats = mTable.Stats(aIndex);
-  const bool gone = stats.mExpires <= aNow;
-  if (gone || aEvaluation.mCount == kMaxCandidates ||
+  const bool expired = stats.mExpires <= aNow;
+  if (expired || aEvaluation.mCount == kMaxCandidates ||
       (!aQuery.mAvoid.empty() &&
        Avoids(aQuery, mTable.Detail(aIndex).mAnnouncement.mName))) {
     return;
--- a/test/routing/CrashReporterTest.cpp
+++ b/test/routing/CrashReporterTest.cpp
@@ -37,8 +37,8 @@
   REQUIRE(report.has_value());
   REQUIRE(report->mLines.size() == 1);
   CHECK(report->mLines[0].mUpstream == UpstreamName("u"));
-  CHECK(report->mLines[0].mSentAgoMs == 60);
-  CHECK(report->mLines[0].mLostAgoMs == 10);
+  CHECK(report->mLines[0].mSentAgeMs == 60);
+  CHECK(report->mLines[0].mLostAgeMs == 10);
   CHECK(report->mLines[0].mHadPermit);
 }
 
--- a/test/routing/QuarantineManagerTest.cpp
+++ b/test/routing/QuarantineManagerTest.cpp
@@ -35,8 +35,8 @@
                           { .mNumber = 1,
                             .mLines = { { .mContent = kContent,
                                           .mUpstream = UpstreamName(aUpstream),
-                                          .mSentAgoMs = ago,
-                                          .mLostAgoMs = 0,
+                                          .mSentAgeMs = ago,
+                                          .mLostAgeMs = 0,
                                           .mHadPermit = aHadPermit } } },
                           mTable,
                           At(aLostMs));
