--- a/include/peridotspool/routing/Quarantine.h
+++ b/include/peridotspool/routing/Quarantine.h
@@ -12,7 +12,10 @@
 
 namespace peridotspool::routing {
 
-/** How entries treat a content that was running when upstreams crashed. */
+/**
+ * How entries treat a content (see ContentId) that was running when upstreams
+ * crashed.
+ */
 enum class QuarantineStage
 {
   /** Runs without restriction. */
