--- a/test/routing/QuarantineSimulation.cpp
+++ b/test/routing/QuarantineSimulation.cpp
@@ -48,7 +48,7 @@
 
   QuarantineSimulationResult Run()
   {
-    for (mMs = 0; mMs < kSimulatedMs; mMs += kStepMs) {
+    for (mNowMs = 0; mNowMs < kSimulatedMs; mNowMs += kStepMs) {
       CrashUpstreams();
       Deliver();
       FinishRuns();
@@ -83,10 +83,13 @@
            static_cast<int>(mRandom() % static_cast<unsigned>(aIntervalMs)) <
              kStepMs;
   }
-  bool IsUp(std::size_t aUpstream) const { return mUpFrom[aUpstream] <= mMs; }
+  bool IsUp(std::size_t aUpstream) const
+  {
+    return mUpFrom[aUpstream] <= mNowMs;
+  }
   void After(int aMs, std::function<void()> aCall)
   {
-    mMessages.emplace(mMs + aMs, std::move(aCall));
+    mMessages.emplace(mNowMs + aMs, std::move(aCall));
   }
   static Address AddressOf(std::size_t aEntry)
   {
@@ -100,13 +103,13 @@
     }
     ++mResult.mCrashes;
     ++mIncarnations[aUpstream];
-    mUpFrom[aUpstream] = mMs + kDownMs;
+    mUpFrom[aUpstream] = mNowMs + kDownMs;
   }
 
   void CrashUpstreams()
   {
     if (mOptions.mMassCrashIntervalMs > 0 &&
-        mMs % mOptions.mMassCrashIntervalMs == 0) {
+        mNowMs % mOptions.mMassCrashIntervalMs == 0) {
       for (std::size_t i = 0; i < kUpstreams; i += 2) {
         After(static_cast<int>(mRandom() % 100), [this, i] { Crash(i); });
       }
@@ -120,7 +123,7 @@
 
   void Deliver()
   {
-    while (!mMessages.empty() && mMessages.begin()->first <= mMs) {
+    while (!mMessages.empty() && mMessages.begin()->first <= mNowMs) {
       const auto call = std::move(mMessages.begin()->second);
       mMessages.erase(mMessages.begin());
       call();
@@ -145,7 +148,7 @@
     Entry& entry = mEntries[aEntry];
     ++mResult.mSent;
     const GateResult result = entry.mGate.Check(
-      { .mLow = aContent }, std::chrono::milliseconds(kDeadlineMs), At(mMs));
+      { .mLow = aContent }, std::chrono::milliseconds(kDeadlineMs), At(mNowMs));
     if (result.mOutcome == GateOutcome::kWaitsForPermit) {
       entry.mWaiting[result.mTag] = aContent;
       RequestPermit(aEntry, result.mPermitRequest);
@@ -158,7 +161,7 @@
   {
     After(kMessageMs, [this, aEntry, aRequest] {
       const PermitResponse result = mManager.HandlePermitRequest(
-        AddressOf(aEntry), aRequest, mTable, At(mMs));
+        AddressOf(aEntry), aRequest, mTable, At(mNowMs));
       After(kMessageMs, [this, aEntry, result] {
         if (const auto decision =
               mEntries[aEntry].mGate.OnPermitResponse(result)) {
@@ -201,33 +204,33 @@
     if (aContent == kDeadly) {
       ++mResult.mDeadlySent;
       mResult.mDeadlySentLate +=
-        mDeadlyCrashes >= 3 && mMs > mThirdCrashMs + 3000 ? 1 : 0;
+        mDeadlyCrashes >= 3 && mNowMs > mThirdCrashMs + 3000 ? 1 : 0;
     }
     const int run = aContent == kDeadly ? kDeadlyRunMs : kRunMs;
     mRunning.push_back({ .mEntry = aEntry,
                          .mContent = aContent,
                          .mUpstream = upstream,
                          .mIncarnation = mIncarnations[upstream],
-                         .mSentMs = mMs,
-                         .mEndMs = mMs + run,
+                         .mSentMs = mNowMs,
+                         .mEndMs = mNowMs + run,
                          .mPermitTag = aPermitTag });
   }
 
   void FinishRuns()
   {
     for (const Running& run : mRunning) {
-      const bool ends = run.mContent == kDeadly && run.mEndMs <= mMs &&
+      const bool ends = run.mContent == kDeadly && run.mEndMs <= mNowMs &&
                         run.mIncarnation == mIncarnations[run.mUpstream];
       if (ends) {
         Crash(run.mUpstream);
-        mThirdCrashMs = ++mDeadlyCrashes == 3 ? mMs : mThirdCrashMs;
+        mThirdCrashMs = ++mDeadlyCrashes == 3 ? mNowMs : mThirdCrashMs;
       }
     }
     std::vector<Running> still;
     for (const Running& run : mRunning) {
       if (run.mIncarnation != mIncarnations[run.mUpstream]) {
         Lose(run);
-      } else if (run.mEndMs > mMs) {
+      } else if (run.mEndMs > mNowMs) {
         still.push_back(run);
       } else {
         Answer(run);
@@ -240,18 +243,18 @@
   void Lose(const Running& aRun)
   {
     Entry& entry = mEntries[aRun.mEntry];
-    entry.mGate.Lost(aRun.mPermitTag, At(mMs));
-    const UpstreamCrash ended{
+    entry.mGate.Lost(aRun.mPermitTag, At(mNowMs));
+    const UpstreamCrash crash{
       .mUpstream = { .mName = UpstreamName(std::to_string(aRun.mUpstream)),
                      .mIncarnation = Incarnation(
                        static_cast<std::uint64_t>(aRun.mIncarnation) + 1) },
       .mLost = { { .mContent = { .mLow = aRun.mContent },
                    .mSentAt = At(aRun.mSentMs),
-                   .mLostAt = At(mMs),
+                   .mLostAt = At(mNowMs),
                    .mHadPermit = aRun.mPermitTag != 0 } }
     };
-    After(kDetectionMs, [this, at = aRun.mEntry, ended] {
-      mEntries[at].mCrashes.Add(ended);
+    After(kDetectionMs, [this, at = aRun.mEntry, crash] {
+      mEntries[at].mCrashes.Add(crash);
     });
     if (aRun.mContent != kDeadly) {
       const std::size_t next = mRandom() % mEntries.size();
@@ -266,7 +269,7 @@
     Entry& entry = mEntries[aRun.mEntry];
     const ContentId content{ .mLow = aRun.mContent };
     if (const auto ended =
-          entry.mGate.Answered(aRun.mPermitTag, content, At(mMs))) {
+          entry.mGate.Answered(aRun.mPermitTag, content, At(mNowMs))) {
       ReportRunEnded(aRun.mEntry, *ended);
     }
   }
@@ -274,7 +277,7 @@
   void ReportRunEnded(std::size_t aEntry, const RunEnded& aEnded)
   {
     After(kMessageMs, [this, aEntry, aEnded] {
-      mManager.HandleRunEnded(AddressOf(aEntry), aEnded, At(mMs));
+      mManager.HandleRunEnded(AddressOf(aEntry), aEnded, At(mNowMs));
     });
   }
 
@@ -295,26 +298,26 @@
   {
     for (std::size_t i = 0; i < mEntries.size(); ++i) {
       Entry& entry = mEntries[i];
-      if (auto report = entry.mCrashes.Report(At(mMs))) {
+      if (auto report = entry.mCrashes.Report(At(mNowMs))) {
         After(kMessageMs, [this, i, report] {
           const auto ack =
-            mManager.HandleReport(AddressOf(i), *report, mTable, At(mMs));
+            mManager.HandleReport(AddressOf(i), *report, mTable, At(mNowMs));
           mEntries[i].mCrashes.OnAck(ack);
         });
       }
-      if (mMs % 50 == 0) {
-        Perform(i, entry.mGate.Tick(At(mMs)));
+      if (mNowMs % 50 == 0) {
+        Perform(i, entry.mGate.Tick(At(mNowMs)));
       }
     }
-    if (mMs % 100 == 0) {
+    if (mNowMs % 100 == 0) {
       for (const QuarantineChange& change :
-           mManager.PendingChanges(mTable, At(mMs))) {
+           mManager.PendingChanges(mTable, At(mNowMs))) {
         mTable.Apply(change);
       }
       for (std::size_t i = 0; i < mEntries.size(); ++i) {
         const auto update = mTable.UpdateSince(mEntries[i].mGate.KnownNumber());
         After(kMessageMs, [this, i, update] {
-          Perform(i, mEntries[i].mGate.ApplyUpdate(update, At(mMs)));
+          Perform(i, mEntries[i].mGate.ApplyUpdate(update, At(mNowMs)));
         });
       }
     }
@@ -330,7 +333,7 @@
   std::vector<Running> mRunning;
   std::multimap<int, std::function<void()>> mMessages;
   std::uint64_t mLastUnique = kFirstUnique;
-  int mMs = 0;
+  int mNowMs = 0;
   int mDeadlyCrashes = 0;
   int mThirdCrashMs = 0;
   QuarantineSimulationResult mResult;
--- a/test/routing/RetryTest.cpp
+++ b/test/routing/RetryTest.cpp
@@ -42,7 +42,7 @@
       ++failed.mAttempts;
     }
   }
-  // Without the budget, three times as many as requests would be sent.
+  // Without the budget, each request would be sent three times.
   CHECK(sent <= kRequests * 1.1 + 10);
   CHECK(sent > kRequests);
 }
