--- a/include/peridotspool/fleet/DutyCall.h
+++ b/include/peridotspool/fleet/CloudCall.h
@@ -23,15 +23,15 @@
 };
 
 /** What the holder of the duties tells the cloud. */
-using DutyCall = std::variant<gateway::UsageWindow, PoolOrder>;
+using CloudCall = std::variant<gateway::UsageWindow, PoolOrder>;
 
 /** Who tells it: a higher number overrides a lower one. */
-struct DutyStamp
+struct FencingStamp
 {
   std::string mHolder;
   std::uint64_t mFence = 0;
 
-  auto operator<=>(const DutyStamp&) const = default;
+  auto operator<=>(const FencingStamp&) const = default;
 };
 
 } // namespace peridotspool::fleet
--- a/include/peridotspool/fleet/FleetOptions.h
+++ b/include/peridotspool/fleet/FleetOptions.h
@@ -16,7 +16,7 @@
   StartId mLastStart;
   /** A refused offer is left alone for this long, doubling, with jitter. */
   Duration mRefusalBackoff = std::chrono::seconds(5);
-  Duration mRefusalBackoffMost = std::chrono::minutes(5);
+  Duration mMaxRefusalBackoff = std::chrono::minutes(5);
   /** Starts without an answer for this long count as refused. */
   Duration mStartTimeout = std::chrono::minutes(3);
   /** Starts under way at once, over all services. */
@@ -26,7 +26,7 @@
   /** Reclaims count half after this long. */
   Duration mRecordHalfLife = std::chrono::hours(6);
   /** What a preferred domain is worth, in currency an hour. */
-  double mPreferenceWorth = 0.2;
+  double mPreferenceValue = 0.2;
   /** What having all instances in one domain costs, in currency an hour. */
   double mSpreadCost = 0.5;
   /** Too slow for this long: one instance more. */
--- a/include/peridotspool/fleet/FleetPlanner.h
+++ b/include/peridotspool/fleet/FleetPlanner.h
@@ -38,7 +38,7 @@
   {
     ServiceName mService;
     OfferKey mOffer;
-    TimePoint mAskedAt;
+    TimePoint mRequestedAt;
   };
   struct Service
   {
@@ -61,23 +61,23 @@
   void Take(const LatencyEvent& aEvent);
   void Take(const FleetTickEvent& aEvent);
 
-  void TakeUnlisted(const InstanceInfo& aInstance,
-                    std::map<InstanceName, InstanceInfo>& aListed);
+  void HandleUnlisted(const InstanceInfo& aInstance,
+                      std::map<InstanceName, InstanceInfo>& aListed);
   void Refuse(StartId aStart);
   void RecordUse();
   void ExpireStarts();
   void StartMissing();
   bool StartOne(Service& aService);
   void DrainSurplus(Service& aService);
-  std::size_t Holds(const ServiceName& aService) const;
-  std::size_t HoldsIn(const ServiceName& aService,
-                      const FailureDomain& aDomain) const;
+  std::size_t CountInstances(const ServiceName& aService) const;
+  std::size_t CountInDomain(const ServiceName& aService,
+                            const FailureDomain& aDomain) const;
   const Offer* BestOffer(const Service& aService) const;
   bool MayTry(const OfferKey& aOffer) const;
-  bool FitsShare(const Service& aService, const OfferKey& aOffer) const;
+  bool FitsDomainShare(const Service& aService, const OfferKey& aOffer) const;
   double Score(const Service& aService, const Offer& aOffer) const;
-  double PriceOf(const OfferKey& aOffer) const;
-  void Decide(const ServiceName& aService, std::string aReason);
+  double PricePerHour(const OfferKey& aOffer) const;
+  void EmitDecision(const ServiceName& aService, std::string aReason);
 
   FleetOptions mOptions;
   TimePoint mNow;
--- a/include/peridotspool/fleet/DutyDesk.h
+++ b/include/peridotspool/fleet/LeaderTaskManager.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/fleet/DutyCall.h"
+#include "peridotspool/fleet/CloudCall.h"
 #include "peridotspool/fleet/PoolPlanner.h"
-#include "peridotspool/fleet/UsageDesk.h"
+#include "peridotspool/fleet/UsageAggregator.h"
 #include "peridotspool/gateway/CommonClock.h"
 #include "peridotspool/gateway/RouteTable.h"
 
@@ -16,20 +16,20 @@
 
 namespace peridotspool::fleet {
 
-struct DutyOptions
+struct LeaderTaskOptions
 {
   Duration mUsageWindow = std::chrono::seconds(5);
   /** How long after a window's end its usage is due. */
-  Duration mUsageLate = std::chrono::seconds(10);
+  Duration mUsageDueAfter = std::chrono::seconds(10);
   /** Two holders are never in charge within this time of each other. */
   Duration mLease = std::chrono::seconds(3);
   /** A call without an answer for this long is made again. */
-  Duration mRetryAfter = std::chrono::milliseconds(700);
+  Duration mRetryInterval = std::chrono::milliseconds(700);
   PoolOptions mPool;
 };
 
 /** What the replica knows when it looks at its duties. */
-struct DutyView
+struct LeaderTaskView
 {
   /** This replica leads and its lease holds. */
   bool mLeads = false;
@@ -48,29 +48,30 @@
 };
 
 /** Call the cloud; the result comes back with the number. */
-struct CallCloud
+struct SendCloudCall
 {
   std::uint64_t mNumber = 0;
-  DutyCall mCall;
+  CloudCall mCall;
   std::uint64_t mFence = 0;
 };
 
-using DutyEffect = std::variant<CommitUsage, CallCloud>;
+using LeaderTaskEffect = std::variant<CommitUsage, SendCloudCall>;
 
 /**
  * The duties of the one holder: usage by window and orders of upstreams.
  *
  * A pure step. Not thread-safe.
  */
-class DutyDesk
+class LeaderTaskManager
 {
 public:
-  explicit DutyDesk(DutyOptions aOptions);
+  explicit LeaderTaskManager(LeaderTaskOptions aOptions);
 
-  void TakeReport(const gateway::UsageReport& aReport, TimePoint aNow);
+  void RecordReport(const gateway::UsageReport& aReport, TimePoint aNow);
   /** aStatus is 0 when there was no answer. */
-  void TakeResult(std::uint64_t aNumber, unsigned aStatus, TimePoint aNow);
-  std::vector<DutyEffect> Tick(const DutyView& aView, TimePoint aNow);
+  void HandleResult(std::uint64_t aNumber, unsigned aStatus, TimePoint aNow);
+  std::vector<LeaderTaskEffect> Tick(const LeaderTaskView& aView,
+                                     TimePoint aNow);
   /** Requests that run at a service's upstreams, by the entries' reports. */
   double Running(const ServiceName& aService, TimePoint aNow) const;
   /** What most processes take for the time of day. */
@@ -78,32 +79,34 @@
   {
     return mClock.Micros(aNow);
   }
-  void TakeWall(std::uint64_t aProcess, std::int64_t aMicros, TimePoint aNow)
+  void RecordWallClock(std::uint64_t aProcess,
+                       std::int64_t aMicros,
+                       TimePoint aNow)
   {
     mClock.Take(aProcess, aMicros, aNow);
   }
   /** Returns true iff this replica may act at aNow. */
-  bool Holds(const DutyView& aView, TimePoint aNow) const;
+  bool MayAct(const LeaderTaskView& aView, TimePoint aNow) const;
 
 private:
-  struct UnderWay
+  struct PendingCall
   {
-    DutyCall mCall;
+    CloudCall mCall;
     TimePoint mAt;
   };
 
-  void NoteLead(const DutyView& aView, TimePoint aNow);
+  void UpdateLeadership(const LeaderTaskView& aView, TimePoint aNow);
   void ExpireCalls(TimePoint aNow);
-  void TellUsage(const DutyView& aView,
-                 TimePoint aNow,
-                 std::vector<DutyEffect>& aEffects);
-  void OrderPools(const DutyView& aView,
+  void DeliverUsage(const LeaderTaskView& aView,
+                    TimePoint aNow,
+                    std::vector<LeaderTaskEffect>& aEffects);
+  void OrderPools(const LeaderTaskView& aView,
                   TimePoint aNow,
-                  std::vector<DutyEffect>& aEffects);
-  CallCloud MakeCall(DutyCall aCall, std::uint64_t aFence, TimePoint aNow);
+                  std::vector<LeaderTaskEffect>& aEffects);
+  SendCloudCall MakeCall(CloudCall aCall, std::uint64_t aFence, TimePoint aNow);
 
-  DutyOptions mOptions;
-  UsageDesk mUsage;
+  LeaderTaskOptions mOptions;
+  UsageAggregator mUsage;
   gateway::CommonClock mClock;
   struct Load
   {
@@ -113,14 +116,14 @@
 
   std::map<std::uint64_t, Load> mLoads;
   std::map<ServiceName, PoolPlanner> mPlanners;
-  std::map<std::uint64_t, UnderWay> mUnderWay;
-  std::uint64_t mLastNumber = 0;
+  std::map<std::uint64_t, PendingCall> mPendingCalls;
+  std::uint64_t mLastCallNumber = 0;
   std::uint64_t mTerm = 0;
-  std::optional<TimePoint> mLeadsSince;
-  std::optional<std::uint64_t> mProposed;
+  std::optional<TimePoint> mLeadingSince;
+  std::optional<std::uint64_t> mProposedWindow;
   TimePoint mProposedAt;
   std::set<std::uint64_t> mDelivered;
-  std::map<std::uint64_t, TimePoint> mTriedAt;
+  std::map<std::uint64_t, TimePoint> mLastAttemptAt;
 };
 
 } // namespace peridotspool::fleet
--- a/include/peridotspool/fleet/OfferBackoff.h
+++ b/include/peridotspool/fleet/OfferBackoff.h
@@ -13,10 +13,10 @@
 class OfferBackoff
 {
 public:
-  OfferBackoff(Duration aFirst, Duration aMost, std::uint64_t aSeed);
+  OfferBackoff(Duration aInitial, Duration aMax, std::uint64_t aSeed);
 
-  void TakeRefusal(const OfferKey& aOffer, TimePoint aNow);
-  void TakeSuccess(const OfferKey& aOffer);
+  void RecordRefusal(const OfferKey& aOffer, TimePoint aNow);
+  void RecordSuccess(const OfferKey& aOffer);
   /** Returns true iff the offer may be tried. */
   bool IsOpen(const OfferKey& aOffer, TimePoint aNow) const;
   /** Returns true iff the last start was refused: it is tried with one. */
@@ -29,8 +29,8 @@
     TimePoint mUntil;
   };
 
-  Duration mFirst;
-  Duration mMost;
+  Duration mInitial;
+  Duration mMax;
   std::mt19937_64 mRandom;
   std::map<OfferKey, Entry> mEntries;
 };
--- a/include/peridotspool/fleet/OrderDesk.h
+++ b/include/peridotspool/fleet/OrderDispatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/fleet/OrderDeskOptions.h"
+#include "peridotspool/fleet/OrderDispatcherOptions.h"
 #include "peridotspool/fleet/OrderEffect.h"
 #include "peridotspool/fleet/OrderEvent.h"
 
@@ -23,10 +23,10 @@
  *
  * A pure step without clock, thread or socket. Not thread-safe.
  */
-class OrderDesk
+class OrderDispatcher
 {
 public:
-  explicit OrderDesk(OrderDeskOptions aOptions);
+  explicit OrderDispatcher(OrderDispatcherOptions aOptions);
 
   /** Takes one event and returns what the host is to do, in order. */
   OrderEffects Step(const OrderEvent& aEvent, TimePoint aNow);
@@ -39,7 +39,7 @@
   {
     Incarnation mIncarnation;
     bool mChecksFencing = false;
-    std::optional<SetupWantedEvent> mWanted;
+    std::optional<DesiredSetupEvent> mWanted;
     /** Known since the last order ended; unset while it isn't. */
     std::optional<EngineSetup> mSetup;
     /** The question whose answer counts; unset if none does. */
@@ -52,29 +52,29 @@
   struct Order
   {
     UpstreamName mEngine;
-    SetupWantedEvent mWanted;
-    TimePoint mGivenAt;
+    DesiredSetupEvent mWanted;
+    TimePoint mIssuedAt;
     bool mSent = false;
   };
 
-  void Take(const EngineSeenEvent& aEvent);
+  void Take(const EngineAnnouncedEvent& aEvent);
   void Take(const EngineGoneEvent& aEvent);
-  void Take(const SetupWantedEvent& aEvent);
+  void Take(const DesiredSetupEvent& aEvent);
   void Take(const SetupReadEvent& aEvent);
-  void Take(const FencingGivenEvent& aEvent);
+  void Take(const FencingNumberIssuedEvent& aEvent);
   void Take(const OrderEndedEvent& aEvent);
   void Take(const OrderTickEvent& aEvent);
 
   bool MayOrder(const Engine& aEngine) const;
-  void ReadUnknown();
+  void ReadUnknownSetups();
   void ExpireOrders();
-  void GiveOrders();
-  bool TakeStore(const Engine& aEngine);
-  void Give(const UpstreamName& aName, Engine& aEngine);
-  void End(OrderId aOrder, bool aGood);
-  void Decide(const UpstreamName& aEngine, std::string aReason);
+  void IssueOrders();
+  bool ReserveStoreBandwidth(const Engine& aEngine);
+  void IssueOrder(const UpstreamName& aName, Engine& aEngine);
+  void EndOrder(OrderId aOrder, bool aSucceeded);
+  void EmitDecision(const UpstreamName& aEngine, std::string aReason);
 
-  OrderDeskOptions mOptions;
+  OrderDispatcherOptions mOptions;
   TimePoint mNow;
   OrderEffects mEffects;
   std::map<UpstreamName, Engine> mEngines;
--- a/include/peridotspool/fleet/OrderEffect.h
+++ b/include/peridotspool/fleet/OrderEffect.h
@@ -18,8 +18,8 @@
   UpstreamName mEngine;
 };
 
-/** Take a number from the control log; answered by FencingGivenEvent. */
-struct TakeFencingEffect
+/** Take a number from the control log; answered by FencingNumberIssuedEvent. */
+struct RequestFencingNumberEffect
 {
   OrderId mOrder;
 };
@@ -43,7 +43,7 @@
 };
 
 using OrderEffect = std::variant<ReadSetupEffect,
-                                 TakeFencingEffect,
+                                 RequestFencingNumberEffect,
                                  SendOrderEffect,
                                  OrderDecisionEffect>;
 using OrderEffects = std::vector<OrderEffect>;
--- a/include/peridotspool/fleet/OrderEvent.h
+++ b/include/peridotspool/fleet/OrderEvent.h
@@ -10,7 +10,7 @@
 namespace peridotspool::fleet {
 
 /** An engine has announced itself, or comes back as a new incarnation. */
-struct EngineSeenEvent
+struct EngineAnnouncedEvent
 {
   UpstreamName mEngine;
   Incarnation mIncarnation;
@@ -24,7 +24,7 @@
 };
 
 /** What an engine is to become; replaces an earlier wish for it. */
-struct SetupWantedEvent
+struct DesiredSetupEvent
 {
   UpstreamName mEngine;
   EngineSetup mSetup;
@@ -43,7 +43,7 @@
 };
 
 /** The control log has committed a number for this order. */
-struct FencingGivenEvent
+struct FencingNumberIssuedEvent
 {
   OrderId mOrder;
   FencingNumber mNumber;
@@ -67,11 +67,11 @@
 struct OrderTickEvent
 {};
 
-using OrderEvent = std::variant<EngineSeenEvent,
+using OrderEvent = std::variant<EngineAnnouncedEvent,
                                 EngineGoneEvent,
-                                SetupWantedEvent,
+                                DesiredSetupEvent,
                                 SetupReadEvent,
-                                FencingGivenEvent,
+                                FencingNumberIssuedEvent,
                                 OrderEndedEvent,
                                 OrderTickEvent>;
 
--- a/include/peridotspool/fleet/ReclaimRecord.h
+++ b/include/peridotspool/fleet/ReclaimRecord.h
@@ -14,9 +14,9 @@
   explicit ReclaimRecord(Duration aHalfLife);
 
   /** One instance of this offer was taken back. */
-  void TakeReclaim(const OfferKey& aOffer, TimePoint aNow);
+  void RecordReclaim(const OfferKey& aOffer, TimePoint aNow);
   /** So many instances of this offer have run for so long. */
-  void TakeUse(const OfferKey& aOffer, double aHours, TimePoint aNow);
+  void RecordHours(const OfferKey& aOffer, double aHours, TimePoint aNow);
 
   /** Expected reclaims of one instance an hour; 0 for on-demand. */
   double RatePerHour(const OfferKey& aOffer, TimePoint aNow) const;
--- a/include/peridotspool/fleet/ServiceDemand.h
+++ b/include/peridotspool/fleet/ServiceDemand.h
@@ -17,8 +17,8 @@
   ServiceName mService;
   MachineClass mClass;
   /** Bounds of its instances; between them the latency target decides. */
-  std::uint32_t mLeast = 1;
-  std::uint32_t mMost = 1;
+  std::uint32_t mMinInstances = 1;
+  std::uint32_t mMaxInstances = 1;
   /** 95th percentile of the time to the first token. */
   Duration mLatencyTarget = std::chrono::milliseconds(440);
   double mLatencyWeight = 1.0;
@@ -34,8 +34,8 @@
                       (),
                       (mService,
                        mClass,
-                       mLeast,
-                       mMost,
+                       mMinInstances,
+                       mMaxInstances,
                        mLatencyTarget,
                        mLatencyWeight,
                        mCostWeight,
--- a/include/peridotspool/rollout/AllowanceAccount.h
+++ b/include/peridotspool/rollout/AllowanceAccount.h
@@ -12,10 +12,10 @@
  * before it is found sound.
  *
  * The sum of all allowances never exceeds what the control log says may have
- * been given out, and that is never raised above the bound on exposure. So the
- * bound holds whatever message, entry or leader is lost: an entry sends no more
- * than its newest allowance says, and a new leader counts all that earlier ones
- * had reserved as spent.
+ * been granted out, and that is never raised above the bound on exposure. So
+ * the bound holds whatever message, entry or leader is lost: an entry sends no
+ * more than its newest allowance says, and a new leader counts all that earlier
+ * ones had reserved as spent.
  *
  * A pure step; not thread-safe.
  */
@@ -32,14 +32,14 @@
    * Takes what an entry's process says; aSequence is the last update that it
    * has taken from this leader. What it can't use any more is available again.
    */
-  void Take(std::uint64_t aLife,
-            const RolloutProgress& aProgress,
-            std::uint64_t aSequence);
+  void RecordProgress(std::uint64_t aIncarnation,
+                      const RolloutProgress& aProgress,
+                      std::uint64_t aSequence);
   /**
    * Returns the entry's allowance for its next update, raised to so many unused
-   * ones if aReserved leaves room.
+   * ones if aReserved leaves available.
    */
-  std::uint64_t Allow(std::uint64_t aLife,
+  std::uint64_t Allow(std::uint64_t aIncarnation,
                       std::uint64_t aUnused,
                       std::uint64_t aReserved,
                       std::uint64_t aSequence);
--- a/include/peridotspool/rollout/FigureScale.h
+++ b/include/peridotspool/rollout/LogHistogram.h
@@ -6,25 +6,25 @@
 
 /** The class of a positive figure; four classes double it. */
 std::uint32_t
-FigureClass(double aFigure);
+HistogramBucket(double aValue);
 
-/** Classes between a figure and aTimes of it. */
+/** Classes between a figure and aRatio of it. */
 std::uint32_t
-ClassesFor(double aTimes);
+BucketsForRatio(double aRatio);
 
 /** The largest figure of a class. */
 double
-LargestOf(std::uint32_t aClass);
+BucketUpperBound(std::uint32_t aBucket);
 
 /** The class that so large a part of the figures doesn't exceed; 0 without any.
  */
 std::uint32_t
-QuantileClass(const FigureCounts& aCounts, double aPart);
+QuantileBucket(const BucketCounts& aCounts, double aShare);
 
 /** How many figures there are, and how many are above a class. */
 std::uint64_t
-CountOf(const FigureCounts& aCounts);
+TotalCount(const BucketCounts& aCounts);
 std::uint64_t
-CountAbove(const FigureCounts& aCounts, std::uint32_t aClass);
+CountAboveBucket(const BucketCounts& aCounts, std::uint32_t aBucket);
 
 } // namespace peridotspool::rollout
--- a/include/peridotspool/rollout/RolloutController.h
+++ b/include/peridotspool/rollout/RolloutController.h
@@ -4,7 +4,7 @@
 #include "peridotspool/rollout/AllowanceAccount.h"
 #include "peridotspool/rollout/RolloutSchedule.h"
 #include "peridotspool/rollout/RolloutTable.h"
-#include "peridotspool/rollout/VersionJudge.h"
+#include "peridotspool/rollout/VersionComparison.h"
 
 #include <deque>
 #include <map>
@@ -19,15 +19,15 @@
 struct RolloutOptions
 {
   /** Of all requests to a service, a bad version gets at most this part... */
-  double mExposeShare = 0.1;
+  double mMaxExposureShare = 0.1;
   /** ...and so many besides. */
-  double mExposeSlack = 50.0;
+  double mExposureSlack = 50.0;
   /** Shares and allowances of entries run out after this long. */
   Duration mLease = std::chrono::seconds(2);
   /** A new leader hears all entries for this long before it decides. */
-  Duration mListenFor = std::chrono::milliseconds(700);
+  Duration mObservationPeriod = std::chrono::milliseconds(700);
   /** A change that wasn't committed is proposed again after this long. */
-  Duration mProposeAgain = std::chrono::milliseconds(500);
+  Duration mProposalRetryInterval = std::chrono::milliseconds(500);
 };
 
 enum class RolloutStage
@@ -91,14 +91,16 @@
   {
   }
 
-  void Take(const RolloutReport& aReport, std::uint64_t aTerm, TimePoint aNow);
+  void HandleReport(const RolloutReport& aReport,
+                    std::uint64_t aTerm,
+                    TimePoint aNow);
   /** Follows the committed table; aMicros is the time of day. */
   RolloutStep Step(const RolloutTable& aTable,
                    const std::map<ServiceName, VersionPools>& aPools,
                    std::int64_t aMicros,
                    TimePoint aNow);
-  /** What to tell an entry whose process has this life. */
-  RolloutUpdate UpdateFor(std::uint64_t aLife,
+  /** What to tell an entry whose process has this incarnation. */
+  RolloutUpdate UpdateFor(std::uint64_t aIncarnation,
                           const RolloutTable& aTable,
                           std::uint64_t aTerm);
 
@@ -106,13 +108,13 @@
   struct Progress
   {
     RolloutProgress mLast;
-    TimePoint mHeardAt;
+    TimePoint mReportedAt;
   };
   struct Run
   {
     Run(const Rollout& aRollout, TimePoint aOrderedAt, TimePoint aNow)
       : mOrderedAt(aOrderedAt)
-      , mSeenAt(aNow)
+      , mFirstSeenAt(aNow)
       , mSchedule(
           ScheduleFor(aRollout.mOrder.mDuration, aRollout.mOrder.mDuration))
       , mAccount(aRollout.mReserved)
@@ -120,7 +122,7 @@
     }
 
     TimePoint mOrderedAt;
-    TimePoint mSeenAt;
+    TimePoint mFirstSeenAt;
     RolloutSchedule mSchedule;
     AllowanceAccount mAccount;
     RolloutStage mStage = RolloutStage::kWatching;
@@ -133,28 +135,28 @@
     AnswersByRoute mAnswers;
     TimePoint mMergedAt;
     /** Answers as they were some time ago, the oldest first. */
-    std::deque<std::pair<TimePoint, AnswersByRoute>> mEarlier;
+    std::deque<std::pair<TimePoint, AnswersByRoute>> mHistory;
   };
 
-  bool Listens(const Run& aRun, TimePoint aNow) const;
-  std::uint64_t Bound(const Run& aRun) const;
+  bool IsObserving(const Run& aRun, TimePoint aNow) const;
+  std::uint64_t ExposureBound(const Run& aRun) const;
   void Advance(Run& aRun,
                const Rollout& aRollout,
                const VersionPools& aPools,
                TimePoint aNow,
                RolloutStep& aStep);
   bool MayShift(const Run& aRun, const VersionPools& aPools) const;
-  void Enter(Run& aRun,
-             const Rollout& aRollout,
-             const VersionPools& aPools,
-             RolloutStage aStage,
-             std::uint32_t aShare,
-             TimePoint aNow,
-             RolloutStep& aStep);
+  void EnterStage(Run& aRun,
+                  const Rollout& aRollout,
+                  const VersionPools& aPools,
+                  RolloutStage aStage,
+                  std::uint32_t aShare,
+                  TimePoint aNow,
+                  RolloutStep& aStep);
   static AnswersByRoute Merged(const Run& aRun);
   static void Reschedule(Run& aRun, const Rollout& aRollout);
   static void Resume(Run& aRun, const Rollout& aRollout, TimePoint aNow);
-  std::optional<VersionEvidence> Evidence(Run& aRun, TimePoint aNow) const;
+  std::optional<VersionEvidence> FindEvidence(Run& aRun, TimePoint aNow) const;
   static bool IsDrained(const Run& aRun, TimePoint aNow);
   void Propose(Run& aRun,
                const Rollout& aRollout,
--- a/include/peridotspool/rollout/RolloutGate.h
+++ b/include/peridotspool/rollout/RolloutGate.h
@@ -36,9 +36,9 @@
   /** Of a whole answer, or between two events; unset where it shows nothing. */
   std::optional<Duration> mPace;
   /** To the first event, as a part of what reading the prompt takes. */
-  std::optional<double> mFirst;
+  std::optional<double> mFirstEvent;
   /** Of the whole answer. */
-  Duration mTook{ 0 };
+  Duration mTotalTime{ 0 };
 };
 
 /**
@@ -54,9 +54,9 @@
 class RolloutGate
 {
 public:
-  void Take(const RolloutUpdate& aUpdate, TimePoint aNow);
+  void ApplyUpdate(const RolloutUpdate& aUpdate, TimePoint aNow);
   /** An update has come: what rollouts there are is known. */
-  bool Knows() const { return mNumber != 0; }
+  bool HasUpdate() const { return mNumber != 0; }
   std::uint64_t Number() const { return mNumber; }
 
   /**
@@ -69,15 +69,16 @@
                             const ReadyByVersion& aReady,
                             TimePoint aNow);
   /** Says where a request may be repeated. */
-  VersionChoice ChooseRepeat(const ServiceName& aService,
-                             const ReadyByVersion& aReady,
-                             TimePoint aNow);
+  VersionChoice ChooseRetry(const ServiceName& aService,
+                            const ReadyByVersion& aReady,
+                            TimePoint aNow);
   /** A request was sent to an upstream of the service, for the first time. */
-  void NoteSent(const ServiceName& aService);
+  void RecordSent(const ServiceName& aService);
   /** Also of one that lasts longer than its caller waits. */
-  void NoteAnswer(const VersionAnswer& aAnswer);
+  void RecordAnswer(const VersionAnswer& aAnswer);
   /** Returns true iff a rollout to that version is running. */
-  bool IsTrying(const ServiceName& aService, const VersionName& aVersion) const;
+  bool IsRollingOut(const ServiceName& aService,
+                    const VersionName& aVersion) const;
   /** Returns true iff a rollout runs, for any service. */
   bool HasRunning() const;
 
@@ -86,7 +87,7 @@
    * at upstreams of a service that run another version than the one named.
    */
   RolloutReport Report(
-    std::uint64_t aLife,
+    std::uint64_t aIncarnation,
     const std::function<std::uint64_t(const ServiceName&, const VersionName&)>&
       aOldRunning,
     TimePoint aNow) const;
@@ -109,18 +110,18 @@
   const ServiceVersions* Find(const ServiceName& aService) const;
   Run* RunOf(const ServiceName& aService);
   const Run* RunOf(const ServiceName& aService) const;
-  VersionChoice Unordered(const ServiceName& aService,
-                          const ReadyByVersion& aReady);
-  static VersionFilter OldOnly(const ServiceVersions& aVersions);
-  static bool MayTry(const Run& aRun,
-                     const std::string& aRoute,
-                     std::uint64_t aSeed,
-                     TimePoint aNow);
-  bool TriesNew(Run& aRun,
-                const std::string& aRoute,
-                std::uint64_t aSeed,
-                TimePoint aNow,
-                const char*& aReason);
+  VersionChoice ChooseWithoutRollout(const ServiceName& aService,
+                                     const ReadyByVersion& aReady);
+  static VersionFilter OldVersionsOnly(const ServiceVersions& aVersions);
+  static bool IsSampled(const Run& aRun,
+                        const std::string& aRoute,
+                        std::uint64_t aSeed,
+                        TimePoint aNow);
+  bool SelectsNewVersion(Run& aRun,
+                         const std::string& aRoute,
+                         std::uint64_t aSeed,
+                         TimePoint aNow,
+                         const char*& aReason);
 
   std::uint64_t mTerm = 0;
   std::uint64_t mSequence = 0;
@@ -129,7 +130,7 @@
   std::map<ServiceName, ServiceVersions> mServices;
   std::map<ServiceName, Run> mRuns;
   /** Versions that served each service before any rollout. */
-  std::unordered_map<ServiceName, std::set<VersionName>> mFirst;
+  std::unordered_map<ServiceName, std::set<VersionName>> mInitialVersions;
 };
 
 } // namespace peridotspool::rollout
--- a/include/peridotspool/rollout/RolloutMessage.h
+++ b/include/peridotspool/rollout/RolloutMessage.h
@@ -9,7 +9,7 @@
 namespace peridotspool::rollout {
 
 /** How often a figure fell into each class of a logarithmic scale. */
-using FigureCounts = std::map<std::uint32_t, std::uint64_t>;
+using BucketCounts = std::map<std::uint32_t, std::uint64_t>;
 
 /** What one entry saw of the answers of one route. */
 struct AnswerTally
@@ -20,19 +20,19 @@
   std::uint64_t mAnswers = 0;
   std::uint64_t mFailed = 0;
   /** Milliseconds of an answer, or between two events of a stream. */
-  FigureCounts mPace;
+  BucketCounts mPace;
   /** Time to a stream's first event, in hundredths of what reading its whole
    * prompt takes. */
-  FigureCounts mFirst;
+  BucketCounts mFirstEvent;
   /** Milliseconds of whole answers, streams included. */
-  FigureCounts mTook;
+  BucketCounts mTotalTime;
 
   auto operator<=>(const AnswerTally&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(
   AnswerTally,
   (),
-  (mRoute, mUpstream, mAnswers, mFailed, mPace, mFirst, mTook))
+  (mRoute, mUpstream, mAnswers, mFailed, mPace, mFirstEvent, mTotalTime))
 
 /** An entry's part in a rollout that runs, counted since it heard of it. */
 struct RolloutProgress
--- a/include/peridotspool/rollout/SequentialTest.h
+++ b/include/peridotspool/rollout/SequentialTest.h
@@ -25,13 +25,13 @@
 
 /**
  * The share of bad answers that a new version may have beside an old one with
- * these counts, of which it may be several times: the old one's upper bound is
- * taken. At least aLeast. Upstreams differ, so an average over few of them may
+ * these counts, of which it may be several ratio: the old one's upper bound is
+ * taken. At least aMin. Upstreams differ, so an average over few of them may
  * be further from the old version's than one over many.
  */
 double
 ToleratedShare(const AnswerCounts& aOld,
-               double aLeast,
+               double aMin,
                std::size_t aNewUpstreams);
 
 } // namespace peridotspool::rollout
--- a/include/peridotspool/rollout/VersionJudge.h
+++ b/include/peridotspool/rollout/VersionComparison.h
@@ -19,20 +19,20 @@
 using AnswersByRoute = std::map<std::string, RouteAnswers>;
 
 /** What is compared between the versions. */
-enum class Trait
+enum class ComparedMetric
 {
   kFailures,
   kPace,
   kFirstEvent,
 };
-BOOST_DESCRIBE_ENUM(Trait, kFailures, kPace, kFirstEvent)
+BOOST_DESCRIBE_ENUM(ComparedMetric, kFailures, kPace, kFirstEvent)
 
 /** The strongest ground there is against a new version. */
 struct VersionEvidence
 {
   /** "all" for all routes together. */
   std::string mRoute;
-  Trait mTrait = Trait::kFailures;
+  ComparedMetric mMetric = ComparedMetric::kFailures;
   AnswerCounts mNew;
   AnswerCounts mOld;
   double mTolerated = 0.0;
@@ -56,11 +56,11 @@
  * it counts as no worse than the others. Returns empty where there is nothing
  * to compare.
  *
- * @param aLooks spans of time that are judged one by one; the chance of a false
+ * @param aSpans spans of time that are judged one by one; the chance of a false
  *   alarm is shared out among them
  */
 std::optional<VersionEvidence>
-Judge(const AnswersByRoute& aAnswers, double aLooks = 1.0);
+CompareVersions(const AnswersByRoute& aAnswers, double aSpans = 1.0);
 
 /** Adds one tally to another one. */
 void
--- a/include/peridotspool/rollout/VersionFilter.h
+++ b/include/peridotspool/rollout/VersionFilter.h
@@ -17,7 +17,7 @@
   std::optional<VersionName> mOnly;
   std::vector<VersionName> mExcept;
   /** If not 0, the choice is among so many of the upstreams that fit. */
-  std::size_t mMost = 0;
+  std::size_t mMaxUpstreams = 0;
 
   bool Allows(const VersionName& aVersion) const
   {
--- a/include/peridotspool/runtime/ControlDialect.h
+++ b/include/peridotspool/runtime/ControlDialect.h
@@ -3,7 +3,7 @@
 #include "peridotspool/control/ControlOptions.h"
 #include "peridotspool/control/OperatorAnswer.h"
 #include "peridotspool/control/OperatorRequest.h"
-#include "peridotspool/fleet/DutyCall.h"
+#include "peridotspool/fleet/CloudCall.h"
 #include "peridotspool/gateway/RouteTable.h"
 #include "peridotspool/http/HttpMessage.h"
 #include "peridotspool/membership/EntryProfile.h"
@@ -24,7 +24,7 @@
 };
 
 /** An upstream's goodbye. */
-struct GoodbyeCall
+struct DeregisterCall
 {
   UpstreamName mName;
   /** Unset where it does not say. */
@@ -46,7 +46,7 @@
 
 using ControlCall = std::variant<control::OperatorRequest,
                                  AnnounceCall,
-                                 GoodbyeCall,
+                                 DeregisterCall,
                                  DirectoryCall,
                                  AnsweredCall>;
 
@@ -76,8 +76,8 @@
                                                    LastReason&)>
     mReadDocument;
   /** Writes what the holder of the duties tells the cloud. */
-  std::function<http::HttpRequest(const fleet::DutyCall&,
-                                  const fleet::DutyStamp&)>
+  std::function<http::HttpRequest(const fleet::CloudCall&,
+                                  const fleet::FencingStamp&)>
     mWriteDuty;
   /** Checks settings that an operator sends. */
   control::SettingsChecker mChecker;
--- a/include/peridotspool/runtime/ControlHostOptions.h
+++ b/include/peridotspool/runtime/ControlHostOptions.h
@@ -3,7 +3,7 @@
 #include "peridotspool/base/Address.h"
 #include "peridotspool/control/ControlOptions.h"
 #include "peridotspool/control/RestoredState.h"
-#include "peridotspool/fleet/DutyDesk.h"
+#include "peridotspool/fleet/LeaderTaskManager.h"
 #include "peridotspool/gateway/QuotaBank.h"
 #include "peridotspool/rollout/RolloutController.h"
 #include "peridotspool/runtime/ControlDialect.h"
@@ -23,7 +23,7 @@
   std::string mHolder;
   /** Unset: the cloud is told nothing. */
   std::optional<Address> mCloud;
-  fleet::DutyOptions mDuties;
+  fleet::LeaderTaskOptions mDuties;
   gateway::QuotaBounds mQuota;
   rollout::RolloutOptions mRollout;
 };
--- a/include/peridotspool/runtime/OperatorClient.h
+++ b/include/peridotspool/runtime/OperatorClient.h
@@ -26,7 +26,7 @@
   /** An address that says nothing for this long is left for another. */
   std::chrono::milliseconds mSilence{ 3000 };
   /** How long the control replicas are asked again for a sure answer. */
-  std::chrono::milliseconds mPatience{ 15000 };
+  std::chrono::milliseconds mRetryTimeout{ 15000 };
 };
 
 /** Asks control replicas and entries for an operator; blocking. */
--- a/src/fleet/FleetChoice.cpp
+++ b/src/fleet/FleetChoice.cpp
@@ -11,28 +11,30 @@
 // refuses starts. Asking for all of them in every round would be a storm that
 // the cloud answers with throttling. So each missing instance has one start
 // under way, all together are bounded, a refused offer is left alone for longer
-// each time, and the service that is shortest goes first.
+// each time, and the service that is neediest goes first.
 void
 FleetPlanner::StartMissing()
 {
   const auto shortage = [&](const Service& aService) {
     const double wanted = std::max<double>(1.0, aService.mWanted);
-    return 1.0 - static_cast<double>(Holds(aService.mDemand.mService)) / wanted;
+    return 1.0 -
+           static_cast<double>(CountInstances(aService.mDemand.mService)) /
+             wanted;
   };
-  std::vector<Service*> open;
+  std::vector<Service*> candidates;
   for (auto& [name, service] : mServices) {
-    open.push_back(&service);
+    candidates.push_back(&service);
   }
-  while (!open.empty() && mStarts.size() < mOptions.mMaxStarting) {
-    const auto shortest = std::max_element(
-      open.begin(), open.end(), [&](auto* aLeft, auto* aRight) {
+  while (!candidates.empty() && mStarts.size() < mOptions.mMaxStarting) {
+    const auto neediest = std::max_element(
+      candidates.begin(), candidates.end(), [&](auto* aLeft, auto* aRight) {
         return shortage(*aLeft) < shortage(*aRight);
       });
-    if (shortage(**shortest) <= 0.0) {
+    if (shortage(**neediest) <= 0.0) {
       return;
     }
-    if (!StartOne(**shortest)) {
-      open.erase(shortest);
+    if (!StartOne(**neediest)) {
+      candidates.erase(neediest);
     }
   }
 }
@@ -47,21 +49,22 @@
   }
   mLastStart = mLastStart.Next();
   mStarts[mLastStart] =
-    Start{ .mService = name, .mOffer = offer->mKey, .mAskedAt = mNow };
+    Start{ .mService = name, .mOffer = offer->mKey, .mRequestedAt = mNow };
   mEffects.emplace_back(StartEffect{ mLastStart, name, offer->mKey });
-  Decide(name,
-         "decision=start domain=" + offer->mKey.mDomain.Value() + " kind=" +
-           (offer->mKey.mKind == PurchaseKind::kOnDemand ? "on-demand"
-                                                         : "reclaimable") +
-           " score=" + std::to_string(Score(aService, *offer)) +
-           " holds=" + std::to_string(Holds(name)) +
-           " wanted=" + std::to_string(aService.mWanted));
+  EmitDecision(
+    name,
+    "decision=start domain=" + offer->mKey.mDomain.Value() + " kind=" +
+      (offer->mKey.mKind == PurchaseKind::kOnDemand ? "on-demand"
+                                                    : "reclaimable") +
+      " score=" + std::to_string(Score(aService, *offer)) +
+      " holds=" + std::to_string(CountInstances(name)) +
+      " wanted=" + std::to_string(aService.mWanted));
   return true;
 }
 
 /** Instances that count: there and not leaving, or being started. */
 std::size_t
-FleetPlanner::Holds(const ServiceName& aService) const
+FleetPlanner::CountInstances(const ServiceName& aService) const
 {
   const auto instances =
     std::count_if(mInstances.begin(), mInstances.end(), [&](const auto& aPair) {
@@ -76,8 +79,8 @@
 }
 
 std::size_t
-FleetPlanner::HoldsIn(const ServiceName& aService,
-                      const FailureDomain& aDomain) const
+FleetPlanner::CountInDomain(const ServiceName& aService,
+                            const FailureDomain& aDomain) const
 {
   const auto instances =
     std::count_if(mInstances.begin(), mInstances.end(), [&](const auto& aPair) {
@@ -94,12 +97,13 @@
 }
 
 bool
-FleetPlanner::FitsShare(const Service& aService, const OfferKey& aOffer) const
+FleetPlanner::FitsDomainShare(const Service& aService,
+                              const OfferKey& aOffer) const
 {
-  const double most = std::ceil(aService.mDemand.mMaxDomainShare *
-                                static_cast<double>(aService.mWanted));
-  const auto held = HoldsIn(aService.mDemand.mService, aOffer.mDomain);
-  return static_cast<double>(held + 1) <= std::max(1.0, most);
+  const double maxCount = std::ceil(aService.mDemand.mMaxDomainShare *
+                                    static_cast<double>(aService.mWanted));
+  const auto count = CountInDomain(aService.mDemand.mService, aOffer.mDomain);
+  return static_cast<double>(count + 1) <= std::max(1.0, maxCount);
 }
 
 // An offer that was refused is tried with one start first; all the missing ones
@@ -107,12 +111,12 @@
 bool
 FleetPlanner::MayTry(const OfferKey& aOffer) const
 {
-  const bool underWay =
+  const bool isPending =
     std::any_of(mStarts.begin(), mStarts.end(), [&](const auto& aPair) {
       return aPair.second.mOffer == aOffer;
     });
   return mBackoff.IsOpen(aOffer, mNow) &&
-         !(underWay && mBackoff.WasRefused(aOffer));
+         !(isPending && mBackoff.WasRefused(aOffer));
 }
 
 const Offer*
@@ -125,7 +129,7 @@
       continue;
     }
     // Too many in one domain is better than too few at all.
-    const bool fits = FitsShare(aService, offer.mKey);
+    const bool fits = FitsDomainShare(aService, offer.mKey);
     const bool better =
       best == nullptr || (fits && !bestFits) ||
       (fits == bestFits && Score(aService, offer) < Score(aService, *best));
@@ -143,9 +147,9 @@
 {
   const ServiceDemand& demand = aService.mDemand;
   const double reclaims = mRecord.RatePerHour(aOffer.mKey, mNow);
-  const double held =
-    static_cast<double>(HoldsIn(demand.mService, aOffer.mKey.mDomain));
-  const double share = held / std::max<double>(1.0, aService.mWanted);
+  const double count =
+    static_cast<double>(CountInDomain(demand.mService, aOffer.mKey.mDomain));
+  const double share = count / std::max<double>(1.0, aService.mWanted);
   const auto& preferred = demand.mPreferredDomains;
   const bool isPreferred =
     std::find(preferred.begin(), preferred.end(), aOffer.mKey.mDomain) !=
@@ -153,11 +157,11 @@
   return demand.mCostWeight * aOffer.mPricePerHour +
          demand.mLatencyWeight * reclaims * mOptions.mReclaimCost +
          mOptions.mSpreadCost * share -
-         (isPreferred ? mOptions.mPreferenceWorth : 0.0);
+         (isPreferred ? mOptions.mPreferenceValue : 0.0);
 }
 
 double
-FleetPlanner::PriceOf(const OfferKey& aOffer) const
+FleetPlanner::PricePerHour(const OfferKey& aOffer) const
 {
   const auto offer =
     std::find_if(mOffers.begin(), mOffers.end(), [&](const Offer& aOne) {
@@ -167,7 +171,7 @@
 }
 
 // Instances come back after a wave, and the replacements are there too. The
-// dearest is drained, one at a time, and only after the surplus has lasted:
+// costliest is drained, one at a time, and only after the surplus has lasted:
 // what was just bought isn't sold again when the next wave comes.
 void
 FleetPlanner::DrainSurplus(Service& aService)
@@ -187,16 +191,16 @@
   if (mNow - *aService.mSurplusSince < mOptions.mSurplusDelay) {
     return;
   }
-  const auto dearest = *std::max_element(
+  const auto costliest = *std::max_element(
     serving.begin(), serving.end(), [&](const auto* aLeft, const auto* aRight) {
-      return PriceOf(aLeft->mOffer) < PriceOf(aRight->mOffer);
+      return PricePerHour(aLeft->mOffer) < PricePerHour(aRight->mOffer);
     });
   aService.mSurplusSince = mNow;
-  mInstances[dearest->mName].mState = InstanceState::kLeaving;
-  mEffects.emplace_back(DrainInstanceEffect{ dearest->mName });
-  Decide(name,
-         "decision=drain instance=" + dearest->mName.Value() +
-           " reason=surplus wanted=" + std::to_string(aService.mWanted));
+  mInstances[costliest->mName].mState = InstanceState::kLeaving;
+  mEffects.emplace_back(DrainInstanceEffect{ costliest->mName });
+  EmitDecision(name,
+               "decision=drain instance=" + costliest->mName.Value() +
+                 " reason=surplus wanted=" + std::to_string(aService.mWanted));
 }
 
 } // namespace peridotspool::fleet
--- a/src/fleet/FleetPlanner.cpp
+++ b/src/fleet/FleetPlanner.cpp
@@ -9,7 +9,7 @@
   : mOptions(aOptions)
   , mRecord(aOptions.mRecordHalfLife)
   , mBackoff(aOptions.mRefusalBackoff,
-             aOptions.mRefusalBackoffMost,
+             aOptions.mMaxRefusalBackoff,
              aOptions.mRandomSeed)
   , mLastStart(aOptions.mLastStart)
 {
@@ -41,8 +41,10 @@
       service = known->second;
     }
     service.mDemand = demand;
-    service.mWanted = std::clamp(
-      service.mWanted, demand.mLeast, std::max(demand.mLeast, demand.mMost));
+    service.mWanted =
+      std::clamp(service.mWanted,
+                 demand.mMinInstances,
+                 std::max(demand.mMinInstances, demand.mMaxInstances));
   }
   mServices = std::move(services);
 }
@@ -71,7 +73,7 @@
   }
   for (const auto& [name, known] : mInstances) {
     if (!instances.contains(name)) {
-      TakeUnlisted(known, instances);
+      HandleUnlisted(known, instances);
     }
   }
   mInstances = std::move(instances);
@@ -81,8 +83,8 @@
 // The list may be older than a start's answer: forgetting the new instance
 // would buy it a second time.
 void
-FleetPlanner::TakeUnlisted(const InstanceInfo& aInstance,
-                           std::map<InstanceName, InstanceInfo>& aListed)
+FleetPlanner::HandleUnlisted(const InstanceInfo& aInstance,
+                             std::map<InstanceName, InstanceInfo>& aListed)
 {
   constexpr Duration kListLag = std::chrono::seconds(30);
   const auto unlisted = mUnlisted.find(aInstance.mName);
@@ -92,7 +94,7 @@
   }
   mUnlisted.erase(aInstance.mName);
   if (aInstance.mState != InstanceState::kLeaving) {
-    mRecord.TakeReclaim(aInstance.mOffer, mNow);
+    mRecord.RecordReclaim(aInstance.mOffer, mNow);
   }
 }
 
@@ -103,7 +105,7 @@
   if (start == mStarts.end()) {
     return;
   }
-  mBackoff.TakeSuccess(start->second.mOffer);
+  mBackoff.RecordSuccess(start->second.mOffer);
   mInstances.try_emplace(aEvent.mInstance,
                          InstanceInfo{ .mName = aEvent.mInstance,
                                        .mStart = aEvent.mStart,
@@ -127,10 +129,11 @@
   if (start == mStarts.end()) {
     return;
   }
-  mBackoff.TakeRefusal(start->second.mOffer, mNow);
-  Decide(start->second.mService,
-         "decision=leave-offer domain=" + start->second.mOffer.mDomain.Value() +
-           " reason=start-refused");
+  mBackoff.RecordRefusal(start->second.mOffer, mNow);
+  EmitDecision(
+    start->second.mService,
+    "decision=leave-offer domain=" + start->second.mOffer.mDomain.Value() +
+      " reason=start-refused");
   mStarts.erase(start);
 }
 
@@ -153,7 +156,7 @@
     return;
   }
   instance->second.mState = InstanceState::kLeaving;
-  mRecord.TakeReclaim(instance->second.mOffer, mNow);
+  mRecord.RecordReclaim(instance->second.mOffer, mNow);
 }
 
 void
@@ -165,7 +168,7 @@
   }
   // Taken without a notice that was heard.
   if (instance->second.mState != InstanceState::kLeaving) {
-    mRecord.TakeReclaim(instance->second.mOffer, mNow);
+    mRecord.RecordReclaim(instance->second.mOffer, mNow);
   }
   mInstances.erase(instance);
 }
@@ -199,16 +202,18 @@
   const Duration slow = since(service.mSlowSince, aEvent.mFirstToken > target);
   const Duration fast =
     since(service.mFastSince, aEvent.mFirstToken < target / 2);
-  if (slow >= mOptions.mGrowAfter && service.mWanted < service.mDemand.mMost) {
+  if (slow >= mOptions.mGrowAfter &&
+      service.mWanted < service.mDemand.mMaxInstances) {
     ++service.mWanted;
     service.mSlowSince = mNow;
-    Decide(aEvent.mService, "decision=grow reason=latency-target-missed");
+    EmitDecision(aEvent.mService, "decision=grow reason=latency-target-missed");
   }
   if (fast >= mOptions.mShrinkAfter &&
-      service.mWanted > service.mDemand.mLeast) {
+      service.mWanted > service.mDemand.mMinInstances) {
     --service.mWanted;
     service.mFastSince = mNow;
-    Decide(aEvent.mService, "decision=shrink reason=latency-target-exceeded");
+    EmitDecision(aEvent.mService,
+                 "decision=shrink reason=latency-target-exceeded");
   }
 }
 
@@ -237,7 +242,7 @@
     std::chrono::duration<double, std::ratio<3600>>(passed).count();
   for (const auto& [name, instance] : mInstances) {
     if (instance.mOffer.mKind == PurchaseKind::kReclaimable) {
-      mRecord.TakeUse(instance.mOffer, hours, mNow);
+      mRecord.RecordHours(instance.mOffer, hours, mNow);
     }
   }
 }
@@ -247,7 +252,7 @@
 {
   std::vector<StartId> late;
   for (const auto& [id, start] : mStarts) {
-    if (mNow - start.mAskedAt >= mOptions.mStartTimeout) {
+    if (mNow - start.mRequestedAt >= mOptions.mStartTimeout) {
       late.push_back(id);
     }
   }
@@ -255,7 +260,7 @@
 }
 
 void
-FleetPlanner::Decide(const ServiceName& aService, std::string aReason)
+FleetPlanner::EmitDecision(const ServiceName& aService, std::string aReason)
 {
   mEffects.emplace_back(DecisionEffect{ aService, std::move(aReason) });
 }
--- /dev/null
+++ b/src/fleet/LeaderTaskManager.cpp
@@ -0,0 +1,204 @@
+#include "peridotspool/fleet/LeaderTaskManager.h"
+
+#include <algorithm>
+
+namespace peridotspool::fleet {
+
+namespace {
+
+constexpr unsigned kOk = 200;
+constexpr unsigned kConflict = 409;
+/** An entry that did not report for this long has nothing running. */
+constexpr Duration kMaxLoadAge = std::chrono::milliseconds(1500);
+constexpr Duration kProposalRetryInterval = std::chrono::seconds(1);
+/** Windows this much older than due are not told any more. */
+constexpr std::int64_t kMaxLateMicros = 5000000;
+
+} // namespace
+
+LeaderTaskManager::LeaderTaskManager(LeaderTaskOptions aOptions)
+  : mOptions(aOptions)
+  // The rest is for telling it, and telling it again.
+  , mUsage(aOptions.mUsageWindow, aOptions.mUsageDueAfter * 4 / 10)
+{
+}
+
+void
+LeaderTaskManager::RecordReport(const gateway::UsageReport& aReport,
+                                TimePoint aNow)
+{
+  mClock.Take(aReport.mLife, aReport.mWallMicros, aNow);
+  mUsage.AddReport(aReport, mClock.Micros(aNow).value_or(aReport.mWallMicros));
+  mLoads[aReport.mLife] = { .mRunning = aReport.mRunning, .mAt = aNow };
+  std::erase_if(mLoads, [&](const auto& aPair) {
+    return aNow - aPair.second.mAt > kMaxLoadAge;
+  });
+}
+
+double
+LeaderTaskManager::Running(const ServiceName& aService, TimePoint aNow) const
+{
+  std::uint64_t running = 0;
+  for (const auto& [life, load] : mLoads) {
+    const auto found = load.mRunning.find(aService);
+    if (found != load.mRunning.end() && aNow - load.mAt <= kMaxLoadAge) {
+      running += found->second;
+    }
+  }
+  return static_cast<double>(running);
+}
+
+void
+LeaderTaskManager::UpdateLeadership(const LeaderTaskView& aView, TimePoint aNow)
+{
+  if (!aView.mLeads) {
+    mLeadingSince.reset();
+    return;
+  }
+  if (!mLeadingSince || aView.mTerm != mTerm) {
+    mLeadingSince = aNow;
+    mTerm = aView.mTerm;
+    mPlanners.clear();
+    mDelivered.clear();
+    mPendingCalls.clear();
+    mLastAttemptAt.clear();
+    mProposedWindow.reset();
+  }
+}
+
+// An earlier holder may have acted right before it lost its lease, and may be
+// in charge again right after this one. With a wait of more than half of the
+// lease before the first act, it takes longer than a lease from its last act to
+// its next one, so no two holders take turns within a lease.
+bool
+LeaderTaskManager::MayAct(const LeaderTaskView& aView, TimePoint aNow) const
+{
+  return aView.mLeads && mLeadingSince && aView.mTerm == mTerm &&
+         aNow - *mLeadingSince >= mOptions.mLease * 6 / 10;
+}
+
+std::vector<LeaderTaskEffect>
+LeaderTaskManager::Tick(const LeaderTaskView& aView, TimePoint aNow)
+{
+  UpdateLeadership(aView, aNow);
+  std::vector<LeaderTaskEffect> effects;
+  if (!MayAct(aView, aNow)) {
+    return effects;
+  }
+  ExpireCalls(aNow);
+  DeliverUsage(aView, aNow, effects);
+  OrderPools(aView, aNow, effects);
+  return effects;
+}
+
+void
+LeaderTaskManager::ExpireCalls(TimePoint aNow)
+{
+  std::vector<std::uint64_t> expired;
+  for (const auto& [number, call] : mPendingCalls) {
+    if (aNow - call.mAt > 4 * mOptions.mRetryInterval) {
+      expired.push_back(number);
+    }
+  }
+  for (const std::uint64_t number : expired) {
+    HandleResult(number, 0, aNow);
+  }
+}
+
+SendCloudCall
+LeaderTaskManager::MakeCall(CloudCall aCall,
+                            std::uint64_t aFence,
+                            TimePoint aNow)
+{
+  const std::uint64_t number = ++mLastCallNumber;
+  mPendingCalls.emplace(number, PendingCall{ .mCall = aCall, .mAt = aNow });
+  return { .mNumber = number, .mCall = std::move(aCall), .mFence = aFence };
+}
+
+// Counts are committed before they leave: a later holder that added the reports
+// up anew could get other numbers, and would tell the cloud two different
+// things about one window. What is committed is told again word for word.
+void
+LeaderTaskManager::DeliverUsage(const LeaderTaskView& aView,
+                                TimePoint aNow,
+                                std::vector<LeaderTaskEffect>& aEffects)
+{
+  const auto micros = mClock.Micros(aNow);
+  if (!micros) {
+    return;
+  }
+  const auto& committed = *aView.mCommitted;
+  const std::uint64_t last = committed.empty() ? 0 : committed.back().mNumber;
+  if (mProposedWindow && (last >= *mProposedWindow ||
+                          aNow - mProposedAt > kProposalRetryInterval)) {
+    mProposedWindow.reset();
+  }
+  if (!mProposedWindow) {
+    if (auto due = mUsage.Due(last, *micros)) {
+      mProposedWindow = due->mNumber;
+      mProposedAt = aNow;
+      aEffects.emplace_back(CommitUsage{ std::move(*due) });
+    }
+  }
+  for (const gateway::UsageWindow& window : committed) {
+    const std::int64_t due = static_cast<std::int64_t>(window.mNumber + 1) *
+                               mOptions.mUsageWindow.count() +
+                             mOptions.mUsageDueAfter.count();
+    const auto tried = mLastAttemptAt.find(window.mNumber);
+    const bool waits = tried != mLastAttemptAt.end() &&
+                       aNow - tried->second < mOptions.mRetryInterval;
+    if (!mDelivered.contains(window.mNumber) && !waits &&
+        *micros < due + kMaxLateMicros) {
+      mLastAttemptAt[window.mNumber] = aNow;
+      aEffects.emplace_back(MakeCall(window, aView.mTerm, aNow));
+    }
+  }
+}
+
+void
+LeaderTaskManager::OrderPools(const LeaderTaskView& aView,
+                              TimePoint aNow,
+                              std::vector<LeaderTaskEffect>& aEffects)
+{
+  if (aView.mTable == nullptr || aView.mPools == nullptr) {
+    return;
+  }
+  for (const auto& service : aView.mTable->Source().mServices) {
+    const auto pool = aView.mPools->find(service.mName);
+    if (!service.mScaling || pool == aView.mPools->end()) {
+      continue;
+    }
+    auto& planner =
+      mPlanners.try_emplace(service.mName, mOptions.mPool).first->second;
+    for (const PoolOrder& order : planner.Plan(service, pool->second, aNow)) {
+      aEffects.emplace_back(MakeCall(order, aView.mTerm, aNow));
+    }
+  }
+}
+
+void
+LeaderTaskManager::HandleResult(std::uint64_t aNumber,
+                                unsigned aStatus,
+                                TimePoint aNow)
+{
+  const auto found = mPendingCalls.find(aNumber);
+  if (found == mPendingCalls.end()) {
+    return;
+  }
+  const CloudCall call = std::move(found->second.mCall);
+  mPendingCalls.erase(found);
+  if (const auto* window = std::get_if<gateway::UsageWindow>(&call)) {
+    if (aStatus == kOk) {
+      mDelivered.insert(window->mNumber);
+    }
+    return;
+  }
+  const auto& order = std::get<PoolOrder>(call);
+  const auto planner = mPlanners.find(order.mService);
+  if (planner != mPlanners.end()) {
+    planner->second.HandleResult(
+      order, aStatus == kOk, aStatus == kConflict, aNow);
+  }
+}
+
+} // namespace peridotspool::fleet
--- a/src/fleet/OfferBackoff.cpp
+++ b/src/fleet/OfferBackoff.cpp
@@ -4,15 +4,17 @@
 
 namespace peridotspool::fleet {
 
-OfferBackoff::OfferBackoff(Duration aFirst, Duration aMost, std::uint64_t aSeed)
-  : mFirst(aFirst)
-  , mMost(aMost)
+OfferBackoff::OfferBackoff(Duration aInitial,
+                           Duration aMax,
+                           std::uint64_t aSeed)
+  : mInitial(aInitial)
+  , mMax(aMax)
   , mRandom(aSeed)
 {
 }
 
 void
-OfferBackoff::TakeRefusal(const OfferKey& aOffer, TimePoint aNow)
+OfferBackoff::RecordRefusal(const OfferKey& aOffer, TimePoint aNow)
 {
   Entry& entry = mEntries[aOffer];
   // Several starts of one offer are refused together; they count once.
@@ -20,15 +22,15 @@
     return;
   }
   entry.mBackoff = entry.mBackoff == Duration(0)
-                     ? mFirst
-                     : std::min(entry.mBackoff * 2, mMost);
+                     ? mInitial
+                     : std::min(entry.mBackoff * 2, mMax);
   const auto half = static_cast<std::uint64_t>(entry.mBackoff.count() / 2);
   const auto jitter = static_cast<Duration::rep>(mRandom() % (half + 1));
   entry.mUntil = aNow + entry.mBackoff / 2 + Duration(jitter);
 }
 
 void
-OfferBackoff::TakeSuccess(const OfferKey& aOffer)
+OfferBackoff::RecordSuccess(const OfferKey& aOffer)
 {
   mEntries.erase(aOffer);
 }
--- a/src/fleet/OrderDesk.cpp
+++ b/src/fleet/OrderDispatcher.cpp
@@ -1,4 +1,4 @@
-#include "peridotspool/fleet/OrderDesk.h"
+#include "peridotspool/fleet/OrderDispatcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,23 +6,23 @@
 namespace peridotspool::fleet {
 
 Duration
-OrderDeskOptions::EarlierOrders() const
+OrderDispatcherOptions::EarlierOrderTimeout() const
 {
   // The earlier leader's clock may be slow and this one's fast.
   const double rate = (1.0 + mClockRateBound) / (1.0 - mClockRateBound);
-  const Duration all = mLease + mSendWithin + mLongestOrder;
+  const Duration all = mLease + mMaxSendDelay + mMaxOrderDuration;
   return Duration(
     static_cast<Duration::rep>(static_cast<double>(all.count()) * rate));
 }
 
-OrderDesk::OrderDesk(OrderDeskOptions aOptions)
+OrderDispatcher::OrderDispatcher(OrderDispatcherOptions aOptions)
   : mOptions(aOptions)
   , mLastOrder(aOptions.mLastOrder)
 {
 }
 
 OrderEffects
-OrderDesk::Step(const OrderEvent& aEvent, TimePoint aNow)
+OrderDispatcher::Step(const OrderEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
   std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
@@ -30,7 +30,7 @@
 }
 
 void
-OrderDesk::Take(const EngineSeenEvent& aEvent)
+OrderDispatcher::Take(const EngineAnnouncedEvent& aEvent)
 {
   Engine& engine = mEngines[aEvent.mEngine];
   if (aEvent.mIncarnation < engine.mIncarnation) {
@@ -52,7 +52,7 @@
 }
 
 void
-OrderDesk::Take(const EngineGoneEvent& aEvent)
+OrderDispatcher::Take(const EngineGoneEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
   if (engine == mEngines.end()) {
@@ -65,7 +65,7 @@
 }
 
 void
-OrderDesk::Take(const SetupWantedEvent& aEvent)
+OrderDispatcher::Take(const DesiredSetupEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
   if (engine != mEngines.end()) {
@@ -74,7 +74,7 @@
 }
 
 void
-OrderDesk::Take(const SetupReadEvent& aEvent)
+OrderDispatcher::Take(const SetupReadEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
   // An answer from before the last order ended tells of a setup that is gone.
@@ -86,38 +86,38 @@
 }
 
 void
-OrderDesk::Take(const FencingGivenEvent& aEvent)
+OrderDispatcher::Take(const FencingNumberIssuedEvent& aEvent)
 {
   const auto order = mOrders.find(aEvent.mOrder);
   if (order == mOrders.end() || order->second.mSent || mStale) {
     return;
   }
   order->second.mSent = true;
-  order->second.mGivenAt = mNow;
+  order->second.mIssuedAt = mNow;
   mEffects.emplace_back(
     SendOrderEffect{ .mOrder = aEvent.mOrder,
                      .mEngine = order->second.mEngine,
                      .mNumber = aEvent.mNumber,
                      .mSetup = order->second.mWanted.mSetup,
-                     .mNotAfter = mNow + mOptions.mSendWithin });
+                     .mNotAfter = mNow + mOptions.mMaxSendDelay });
 }
 
 void
-OrderDesk::Take(const OrderEndedEvent& aEvent)
+OrderDispatcher::Take(const OrderEndedEvent& aEvent)
 {
   if (aEvent.mOutcome == OrderOutcome::kStale) {
     mStale = true;
   }
-  End(aEvent.mOrder, aEvent.mOutcome == OrderOutcome::kDone);
+  EndOrder(aEvent.mOrder, aEvent.mOutcome == OrderOutcome::kDone);
 }
 
 void
-OrderDesk::Take(const OrderTickEvent&)
+OrderDispatcher::Take(const OrderTickEvent&)
 {
   ExpireOrders();
-  ReadUnknown();
+  ReadUnknownSetups();
   if (!mStale) {
-    GiveOrders();
+    IssueOrders();
   }
 }
 
@@ -127,18 +127,18 @@
 // the only way to know that it is over. An engine that checks the numbers
 // refuses the earlier leader by itself.
 bool
-OrderDesk::MayOrder(const Engine& aEngine) const
+OrderDispatcher::MayOrder(const Engine& aEngine) const
 {
   return aEngine.mChecksFencing ||
-         mNow >= mOptions.mLeaderSince + mOptions.EarlierOrders();
+         mNow >= mOptions.mLeaderSince + mOptions.EarlierOrderTimeout();
 }
 
 void
-OrderDesk::ReadUnknown()
+OrderDispatcher::ReadUnknownSetups()
 {
   for (auto& [name, engine] : mEngines) {
-    const bool waits =
-      engine.mRead.IsSet() && mNow - engine.mReadAt < mOptions.mReadAgain;
+    const bool waits = engine.mRead.IsSet() &&
+                       mNow - engine.mReadAt < mOptions.mReadRetryInterval;
     if (engine.mSetup || engine.mOrder || !engine.mWanted || waits ||
         !MayOrder(engine)) {
       continue;
@@ -151,21 +151,21 @@
 }
 
 void
-OrderDesk::ExpireOrders()
+OrderDispatcher::ExpireOrders()
 {
   std::vector<OrderId> late;
   for (const auto& [id, order] : mOrders) {
-    if (mNow - order.mGivenAt >=
-        mOptions.mLongestOrder + mOptions.mSendWithin) {
+    if (mNow - order.mIssuedAt >=
+        mOptions.mMaxOrderDuration + mOptions.mMaxSendDelay) {
       late.push_back(id);
     }
   }
   std::for_each(
-    late.begin(), late.end(), [&](OrderId aId) { End(aId, false); });
+    late.begin(), late.end(), [&](OrderId aId) { EndOrder(aId, false); });
 }
 
 void
-OrderDesk::GiveOrders()
+OrderDispatcher::IssueOrders()
 {
   std::vector<std::pair<UpstreamName, Engine*>> due;
   for (auto& [name, engine] : mEngines) {
@@ -178,10 +178,10 @@
     return aLeft.second->mWanted->mUrgency > aRight.second->mWanted->mUrgency;
   });
   for (auto& [name, engine] : due) {
-    if (!TakeStore(*engine)) {
+    if (!ReserveStoreBandwidth(*engine)) {
       return;
     }
-    Give(name, *engine);
+    IssueOrder(name, *engine);
   }
 }
 
@@ -189,13 +189,13 @@
 // them all, and none would be ready soon. Loads are asked for at the rate that
 // the store gives, so that the most urgent one is done first.
 bool
-OrderDesk::TakeStore(const Engine& aEngine)
+OrderDispatcher::ReserveStoreBandwidth(const Engine& aEngine)
 {
   if (aEngine.mSetup->mModel == aEngine.mWanted->mSetup.mModel) {
     return true;
   }
   const TimePoint start = std::max(mNow, mStoreFreeAt);
-  if (start - mNow > mOptions.mStoreAhead) {
+  if (start - mNow > mOptions.mMaxStoreBacklog) {
     return false;
   }
   const double seconds = static_cast<double>(aEngine.mWanted->mModelBytes) /
@@ -206,24 +206,24 @@
 }
 
 void
-OrderDesk::Give(const UpstreamName& aName, Engine& aEngine)
+OrderDispatcher::IssueOrder(const UpstreamName& aName, Engine& aEngine)
 {
   mLastOrder = mLastOrder.Next();
   aEngine.mOrder = mLastOrder;
   mOrders[mLastOrder] = Order{ .mEngine = aName,
                                .mWanted = *aEngine.mWanted,
-                               .mGivenAt = mNow,
+                               .mIssuedAt = mNow,
                                .mSent = false };
-  mEffects.emplace_back(TakeFencingEffect{ mLastOrder });
-  Decide(aName,
-         "decision=order id=" + std::to_string(mLastOrder.Value()) +
-           " model=" + aEngine.mWanted->mSetup.mModel +
-           " adapter=" + aEngine.mWanted->mSetup.mAdapter +
-           " role=" + aEngine.mWanted->mSetup.mRole);
+  mEffects.emplace_back(RequestFencingNumberEffect{ mLastOrder });
+  EmitDecision(aName,
+               "decision=order id=" + std::to_string(mLastOrder.Value()) +
+                 " model=" + aEngine.mWanted->mSetup.mModel +
+                 " adapter=" + aEngine.mWanted->mSetup.mAdapter +
+                 " role=" + aEngine.mWanted->mSetup.mRole);
 }
 
 void
-OrderDesk::End(OrderId aOrder, bool aGood)
+OrderDispatcher::EndOrder(OrderId aOrder, bool aSucceeded)
 {
   const auto order = mOrders.find(aOrder);
   if (order == mOrders.end()) {
@@ -234,21 +234,21 @@
   engine.mOrder.reset();
   engine.mSetup.reset();
   engine.mRead = ReadNumber();
-  engine.mBackoff = aGood ? Duration(0)
-                          : std::clamp(engine.mBackoff * 2,
-                                       mOptions.mFailureBackoff,
-                                       mOptions.mFailureBackoffMost);
+  engine.mBackoff = aSucceeded ? Duration(0)
+                               : std::clamp(engine.mBackoff * 2,
+                                            mOptions.mFailureBackoff,
+                                            mOptions.mMaxFailureBackoff);
   engine.mNotBefore = mNow + engine.mBackoff;
-  if (!aGood) {
-    Decide(order->second.mEngine,
-           "decision=read-back id=" + std::to_string(aOrder.Value()) +
-             " reason=order-failed");
+  if (!aSucceeded) {
+    EmitDecision(order->second.mEngine,
+                 "decision=read-back id=" + std::to_string(aOrder.Value()) +
+                   " reason=order-failed");
   }
   mOrders.erase(order);
 }
 
 void
-OrderDesk::Decide(const UpstreamName& aEngine, std::string aReason)
+OrderDispatcher::EmitDecision(const UpstreamName& aEngine, std::string aReason)
 {
   mEffects.emplace_back(OrderDecisionEffect{ aEngine, std::move(aReason) });
 }
--- a/src/fleet/PoolPlanner.cpp
+++ b/src/fleet/PoolPlanner.cpp
@@ -10,23 +10,23 @@
 std::uint32_t
 ReadyOf(const PoolView& aView, const PoolKey& aKey)
 {
-  const auto found = aView.mReady.find(aKey);
-  return found == aView.mReady.end() ? 0 : found->second;
+  const auto discovered = aView.mReady.find(aKey);
+  return discovered == aView.mReady.end() ? 0 : discovered->second;
 }
 
-/** Reclaimable upstreams that stand in for a lasting one before any load. */
-constexpr double kInPlaceOfOne = 2.0;
+/** Reclaimable upstreams that stand in for a onDemand one before any load. */
+constexpr double kMaxReclaimablePerOnDemand = 2.0;
 
 // Reclaimable upstreams start with empty caches and have to read each prefix
 // once, and those of a whole domain may be reclaimed at any time. They never
-// cost more than the lasting ones that they replace.
+// cost more than the onDemand ones that they replace.
 double
-InPlaceOfOne(const gateway::ScalingProfile& aScaling)
+ReclaimablePerOnDemand(const gateway::ScalingProfile& aScaling)
 {
   const auto domains = static_cast<double>(aScaling.mPrices.size());
   const double forLoss = domains < 2 ? 1.0 : domains / (domains - 1);
   const double price = std::max(aScaling.mReclaimablePrice, 0.01);
-  return std::max(forLoss, std::min(kInPlaceOfOne, 1.0 / price));
+  return std::max(forLoss, std::min(kMaxReclaimablePerOnDemand, 1.0 / price));
 }
 
 std::uint32_t
@@ -52,71 +52,75 @@
 // quarter to a third of the first six seconds' worth was lost (PoolPlannerTest
 // has the case).
 bool
-PoolPlanner::Listens(TimePoint aNow) const
+PoolPlanner::IsObserving(TimePoint aNow) const
 {
-  return !mLoadSeen && aNow - *mPlansSince < mOptions.mListenFor;
+  return !mLoadSeen && aNow - *mPlanningSince < mOptions.mObservationPeriod;
 }
 
 // Upstreams are heard over several heartbeats, and with many control replicas
 // some of these have no place in the group for seconds: of 140 upstreams 95
 // were heard within 1.5 s. What was ordered here is no ground to order more:
-// reclaimable ones that come later than a start takes, and lasting ones once
+// reclaimable ones that come later than a start takes, and onDemand ones once
 // any were ordered.
 void
-PoolPlanner::NoteFound(const gateway::ScalingProfile& aScaling,
-                       const PoolView& aView,
-                       TimePoint aNow)
+PoolPlanner::RecordDiscovered(const gateway::ScalingProfile& aScaling,
+                              const PoolView& aView,
+                              TimePoint aNow)
 {
-  if (!mLastingOrdered) {
-    mFoundLasting = std::max(mFoundLasting, CountOf(aView, false));
+  if (!mOnDemandOrdered) {
+    mDiscoveredOnDemand = std::max(mDiscoveredOnDemand, CountOf(aView, false));
   }
-  if (aNow - *mPlansSince < aScaling.mBoot) {
-    mFoundReclaimable = std::max(mFoundReclaimable, CountOf(aView, true));
+  if (aNow - *mPlanningSince < aScaling.mBoot) {
+    mDiscoveredReclaimable =
+      std::max(mDiscoveredReclaimable, CountOf(aView, true));
   }
 }
 
 std::uint32_t
-PoolPlanner::WantedInAll(const gateway::ServiceProfile& aService,
+PoolPlanner::TotalWanted(const gateway::ServiceProfile& aService,
                          const PoolView& aView,
                          TimePoint aNow)
 {
-  const auto mostInAll = static_cast<std::uint32_t>(
+  const auto maxTotal = static_cast<std::uint32_t>(
     aService.mScaling->mMax * aService.mScaling->mPrices.size());
-  const double byLoad = std::ceil(aView.mRunning / mOptions.mRunningEach);
+  const double byLoad = std::ceil(aView.mRunning / mOptions.mTargetConcurrency);
   auto wanted =
-    std::max(mOptions.mLeast,
-             static_cast<std::uint32_t>(std::min<double>(mostInAll, byLoad)));
+    std::max(mOptions.mMinUpstreams,
+             static_cast<std::uint32_t>(std::min<double>(maxTotal, byLoad)));
   // Before any load has been seen, what somebody else thought right stays.
   mLoadSeen = mLoadSeen || aView.mRunning >= 1.0;
   if (!mLoadSeen) {
-    NoteFound(*aService.mScaling, aView, aNow);
-    const double found = std::min<double>(
-      mostInAll,
-      mFoundReclaimable + mFoundLasting * InPlaceOfOne(*aService.mScaling));
-    wanted = std::max({ wanted, mWanted, static_cast<std::uint32_t>(found) });
+    RecordDiscovered(*aService.mScaling, aView, aNow);
+    const double discovered = std::min<double>(
+      maxTotal,
+      mDiscoveredReclaimable +
+        mDiscoveredOnDemand * ReclaimablePerOnDemand(*aService.mScaling));
+    wanted =
+      std::max({ wanted, mWanted, static_cast<std::uint32_t>(discovered) });
   }
   if (wanted >= mWanted) {
-    mTooManySince.reset();
-    mShrunkAt.reset();
+    mExcessSince.reset();
+    mLastShrinkAt.reset();
     return wanted;
   }
-  return Shrunk(wanted, aNow);
+  return ShrinkTarget(wanted, aNow);
 }
 
 // Load varies faster than upstreams start and drain, and an upstream that is
 // given up takes its cache with it. Shrinking in steps shows the effect of each
 // step on the load, and nothing is given up while none could be had again.
 std::uint32_t
-PoolPlanner::Shrunk(std::uint32_t aWanted, TimePoint aNow)
+PoolPlanner::ShrinkTarget(std::uint32_t aWanted, TimePoint aNow)
 {
-  mTooManySince = mTooManySince.value_or(aNow);
-  const Duration since = aNow - *mTooManySince;
-  const bool early = mShrunkAt ? aNow - *mShrunkAt < mOptions.mShrinkEach
-                               : since < mOptions.mShrinkAfter;
-  if (early || (IsDry(aNow) && since < mOptions.mKeepMost)) {
+  mExcessSince = mExcessSince.value_or(aNow);
+  const Duration since = aNow - *mExcessSince;
+  const bool early = mLastShrinkAt
+                       ? aNow - *mLastShrinkAt < mOptions.mShrinkInterval
+                       : since < mOptions.mShrinkAfter;
+  if (early || (HasShortage(aNow) && since < mOptions.mMaxShrinkDelay)) {
     return mWanted;
   }
-  mShrunkAt = aNow;
+  mLastShrinkAt = aNow;
   return std::max(aWanted, mWanted / 2);
 }
 
@@ -154,78 +158,80 @@
     aDesired[PoolKey{ open[i], true }] = std::max(part, scaling.mMin);
     left -= std::min(left, part);
   }
-  const std::uint32_t lacking = Lacking(aView, aNow);
-  PlaceLasting(aView, domains, lacking, scaling.mMax, aDesired);
+  const std::uint32_t need = OnDemandNeed(aView, aNow);
+  PlaceOnDemand(aView, domains, need, scaling.mMax, aDesired);
 }
 
 bool
-PoolPlanner::IsDry(TimePoint aNow) const
+PoolPlanner::HasShortage(TimePoint aNow) const
 {
-  return mRefusedAt && aNow - *mRefusedAt < mOptions.mDryFor;
+  return mRefusedAt && aNow - *mRefusedAt < mOptions.mShortageHold;
 }
 
 // A start takes longer than the notice of a reclaim. While no reclaimable ones
 // can be had, the domain that has most of them therefore counts as lost, and
 // what is left has to carry the load.
 std::uint32_t
-PoolPlanner::LackingNow(const PoolView& aView, TimePoint aNow) const
+PoolPlanner::CurrentOnDemandNeed(const PoolView& aView, TimePoint aNow) const
 {
   const auto part = [this](double aPool) {
-    return static_cast<std::uint32_t>(std::ceil(mOptions.mLastingPart * aPool));
+    return static_cast<std::uint32_t>(
+      std::ceil(mOptions.mOnDemandShare * aPool));
   };
   const std::uint32_t all = CountOf(aView, true);
   const std::uint32_t needed = part(static_cast<double>(mWanted));
-  const std::uint32_t lacking = needed - std::min(needed, all);
-  if (!IsDry(aNow)) {
-    return lacking;
+  const std::uint32_t need = needed - std::min(needed, all);
+  if (!HasShortage(aNow)) {
+    return need;
   }
   std::uint32_t largest = 0;
   for (const auto& [key, ready] : aView.mReady) {
     largest = key.mReclaimable ? std::max(largest, ready) : largest;
   }
   const std::uint32_t forLoad =
-    std::min(needed, part(aView.mRunning / mOptions.mRunningEach));
-  return std::max(lacking, forLoad - std::min(forLoad, all - largest));
+    std::min(needed, part(aView.mRunning / mOptions.mTargetConcurrency));
+  return std::max(need, forLoad - std::min(forLoad, all - largest));
 }
 
 // Reclaims come in waves, one domain after the other, and for a while there are
 // none to be had anywhere. Lasting upstreams then carry the load; they are
 // given up only when reclaimable ones have stood in for them for a while.
 std::uint32_t
-PoolPlanner::Lacking(const PoolView& aView, TimePoint aNow)
+PoolPlanner::OnDemandNeed(const PoolView& aView, TimePoint aNow)
 {
-  const std::uint32_t lacking = LackingNow(aView, aNow);
-  if (lacking >= mLacking) {
-    mLacking = lacking;
-    mLackingAt = aNow;
-  } else if (!mLoadSeen || aNow - mLackingAt >= mOptions.mLastingFor) {
-    // Before any load there are no waves: what was found running goes as soon
-    // as reclaimable ones are ready in its place.
-    mLacking = lacking;
+  const std::uint32_t need = CurrentOnDemandNeed(aView, aNow);
+  if (need >= mOnDemandNeed) {
+    mOnDemandNeed = need;
+    mOnDemandNeededAt = aNow;
+  } else if (!mLoadSeen ||
+             aNow - mOnDemandNeededAt >= mOptions.mMinOnDemandTime) {
+    // Before any load there are no waves: what was discovered running goes as
+    // soon as reclaimable ones are ready in its place.
+    mOnDemandNeed = need;
   }
-  return mLacking;
+  return mOnDemandNeed;
 }
 
 void
-PoolPlanner::PlaceLasting(
+PoolPlanner::PlaceOnDemand(
   const PoolView& aView,
   const std::vector<std::pair<double, FailureDomain>>& aDomains,
   std::uint32_t aWanted,
-  std::uint32_t aMost,
+  std::uint32_t aMax,
   std::map<PoolKey, std::uint32_t>& aDesired)
 {
   // Those that are there already stay first: a start takes seconds.
   for (const auto& [price, domain] : aDomains) {
-    const PoolKey lasting{ domain, false };
-    aDesired[lasting] = std::min(ReadyOf(aView, lasting), aWanted);
-    aWanted -= aDesired[lasting];
+    const PoolKey onDemand{ domain, false };
+    aDesired[onDemand] = std::min(ReadyOf(aView, onDemand), aWanted);
+    aWanted -= aDesired[onDemand];
   }
   while (aWanted > 0) {
     const std::uint32_t before = aWanted;
     for (const auto& [price, domain] : aDomains) {
       const std::uint32_t both = aDesired[PoolKey{ domain, false }] +
                                  ReadyOf(aView, PoolKey{ domain, true });
-      if (aWanted > 0 && both < aMost) {
+      if (aWanted > 0 && both < aMax) {
         ++aDesired[PoolKey{ domain, false }];
         --aWanted;
       }
@@ -237,20 +243,20 @@
 }
 
 bool
-PoolPlanner::IsDue(const Slot& aSlot,
-                   std::uint32_t aReady,
-                   std::uint32_t aDesired,
-                   Duration aBoot,
-                   TimePoint aNow) const
+PoolPlanner::IsOrderDue(const Slot& aSlot,
+                        std::uint32_t aReady,
+                        std::uint32_t aDesired,
+                        Duration aBoot,
+                        TimePoint aNow) const
 {
-  if (aSlot.mUnderWay || aSlot.mRefusedUntil > aNow) {
+  if (aSlot.mOrderPending || aSlot.mRefusedUntil > aNow) {
     return false;
   }
   if (aSlot.mOrdered != aDesired) {
     return aSlot.mOrdered || aReady != aDesired;
   }
   return aReady != aDesired &&
-         aNow - aSlot.mOrderedAt >= aBoot + mOptions.mPatience;
+         aNow - aSlot.mOrderedAt >= aBoot + mOptions.mOrderTimeout;
 }
 
 std::vector<PoolOrder>
@@ -262,22 +268,22 @@
   if (!aService.mScaling) {
     return orders;
   }
-  if (!mPlansSince) {
-    mPlansSince = aNow;
+  if (!mPlanningSince) {
+    mPlanningSince = aNow;
   }
-  mWanted = WantedInAll(aService, aView, aNow);
+  mWanted = TotalWanted(aService, aView, aNow);
   std::map<PoolKey, std::uint32_t> desired;
   Place(aService, aView, aNow, desired);
   for (const auto& [key, count] : desired) {
     Slot& slot = mSlots[key];
-    if (!key.mReclaimable && Listens(aNow)) {
+    if (!key.mReclaimable && IsObserving(aNow)) {
       continue;
     }
-    if (IsDue(
+    if (IsOrderDue(
           slot, ReadyOf(aView, key), count, aService.mScaling->mBoot, aNow)) {
-      slot.mUnderWay = true;
-      mLastingOrdered =
-        mLastingOrdered || (!key.mReclaimable && count > ReadyOf(aView, key));
+      slot.mOrderPending = true;
+      mOnDemandOrdered =
+        mOnDemandOrdered || (!key.mReclaimable && count > ReadyOf(aView, key));
       orders.push_back({ .mService = aService.mName,
                          .mDomain = key.mDomain,
                          .mReclaimable = key.mReclaimable,
@@ -288,20 +294,20 @@
 }
 
 void
-PoolPlanner::TakeResult(const PoolOrder& aOrder,
-                        bool aDone,
-                        bool aRefused,
-                        TimePoint aNow)
+PoolPlanner::HandleResult(const PoolOrder& aOrder,
+                          bool aDone,
+                          bool aRefused,
+                          TimePoint aNow)
 {
   Slot& slot = mSlots[PoolKey{ aOrder.mDomain, aOrder.mReclaimable }];
-  slot.mUnderWay = false;
+  slot.mOrderPending = false;
   if (aDone) {
     slot.mOrdered = aOrder.mDesired;
     slot.mOrderedAt = aNow;
   } else {
     mRefusedAt = aRefused ? aNow : mRefusedAt;
-    slot.mRefusedUntil =
-      aNow + (aRefused ? mOptions.mRefusedFor : std::chrono::milliseconds(500));
+    slot.mRefusedUntil = aNow + (aRefused ? mOptions.mRefusedOrderBackoff
+                                          : std::chrono::milliseconds(500));
   }
 }
 
--- a/src/fleet/ReclaimRecord.cpp
+++ b/src/fleet/ReclaimRecord.cpp
@@ -35,7 +35,7 @@
 }
 
 void
-ReclaimRecord::TakeReclaim(const OfferKey& aOffer, TimePoint aNow)
+ReclaimRecord::RecordReclaim(const OfferKey& aOffer, TimePoint aNow)
 {
   Entry entry = Decayed(aOffer, aNow);
   entry.mReclaims += 1.0;
@@ -43,7 +43,9 @@
 }
 
 void
-ReclaimRecord::TakeUse(const OfferKey& aOffer, double aHours, TimePoint aNow)
+ReclaimRecord::RecordHours(const OfferKey& aOffer,
+                           double aHours,
+                           TimePoint aNow)
 {
   Entry entry = Decayed(aOffer, aNow);
   entry.mHours += aHours;
--- a/src/fleet/UsageDesk.cpp
+++ b/src/fleet/UsageAggregator.cpp
@@ -1,4 +1,4 @@
-#include "peridotspool/fleet/UsageDesk.h"
+#include "peridotspool/fleet/UsageAggregator.h"
 
 #include <algorithm>
 
@@ -8,29 +8,30 @@
 
 /** Reports of a window's end have come this long after it. */
 constexpr std::int64_t kSettleMicros = 1200000;
-constexpr std::size_t kMostWindows = 12;
-/** A life that did not report for this long has ended. */
-constexpr std::int64_t kForgetMicros = 20000000;
+constexpr std::size_t kMaxWindows = 12;
+/** A incarnation that did not report for this long has ended. */
+constexpr std::int64_t kIncarnationExpiryMicros = 20000000;
 
 } // namespace
 
-UsageDesk::UsageDesk(Duration aWindow, Duration aMost)
+UsageAggregator::UsageAggregator(Duration aWindow, Duration aMaxWait)
   : mWindow(aWindow)
-  , mMost(aMost)
+  , mMaxWait(aMaxWait)
 {
 }
 
 void
-UsageDesk::Take(const gateway::UsageReport& aReport, std::int64_t aMicros)
+UsageAggregator::AddReport(const gateway::UsageReport& aReport,
+                           std::int64_t aMicros)
 {
   mReportedAt[aReport.mLife] = aMicros;
   std::erase_if(mReportedAt, [&](const auto& aPair) {
-    return aMicros - aPair.second > kForgetMicros;
+    return aMicros - aPair.second > kIncarnationExpiryMicros;
   });
   for (const gateway::UsageWindow& window : aReport.mWindows) {
     mReports[window.mNumber][aReport.mLife] = window;
   }
-  while (mReports.size() > kMostWindows) {
+  while (mReports.size() > kMaxWindows) {
     mReports.erase(mReports.begin());
   }
 }
@@ -38,7 +39,7 @@
 // An entry that is cut off goes on serving and reports when it is back; counts
 // that were settled without it could not be mended any more.
 bool
-UsageDesk::IsWhole(std::int64_t aEnd) const
+UsageAggregator::HasAllReports(std::int64_t aEnd) const
 {
   return std::all_of(
     mReportedAt.begin(), mReportedAt.end(), [&](const auto& aPair) {
@@ -47,19 +48,19 @@
 }
 
 std::optional<gateway::UsageWindow>
-UsageDesk::Due(std::uint64_t aLast, std::int64_t aMicros)
+UsageAggregator::Due(std::uint64_t aLast, std::int64_t aMicros)
 {
   const auto next = mReports.upper_bound(aLast);
   if (next == mReports.end()) {
     return std::nullopt;
   }
   const auto end = static_cast<std::int64_t>(next->first + 1) * mWindow.count();
-  const bool settled = aMicros >= end + kSettleMicros && IsWhole(end);
-  if (!settled && aMicros < end + mMost.count()) {
+  const bool settled = aMicros >= end + kSettleMicros && HasAllReports(end);
+  if (!settled && aMicros < end + mMaxWait.count()) {
     return std::nullopt;
   }
   gateway::UsageWindow sum{ .mNumber = next->first, .mCounts = {} };
-  for (const auto& [life, window] : next->second) {
+  for (const auto& [incarnation, window] : next->second) {
     for (const auto& [customer, count] : window.mCounts) {
       sum.mCounts[customer] += count;
     }
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -62,7 +62,7 @@
 {
   const bool isFirst = mRuns == 0 && mRefusals == 0;
   const bool knows = mCore.mStartPlan.KnowsEnough(mCore.mNow()) &&
-                     mCore.mGate.Knows() && mCore.mRollouts.Knows();
+                     mCore.mGate.Knows() && mCore.mRollouts.HasUpdate();
   if (isFirst && !knows && WaitForStart()) {
     return;
   }
@@ -107,11 +107,11 @@
   mUpstream = aChoice.mName;
   mUpstreamAddress = aChoice.mAddress;
   if (mRuns == 0 && mRefusals == 0) {
-    mCore.mRollouts.NoteSent(mService);
+    mCore.mRollouts.RecordSent(mService);
   }
   mVersion = aChoice.mVersion;
   mPieces = 0;
-  if (mCore.mRollouts.IsTrying(mService, mVersion)) {
+  if (mCore.mRollouts.IsRollingOut(mService, mVersion)) {
     mCore.mCounters.Add(CounterId::kNewVersionSent);
   }
   mQuestion.mTried.insert(mUpstream);
--- a/src/gateway/ExchangeAnswer.cpp
+++ b/src/gateway/ExchangeAnswer.cpp
@@ -203,7 +203,7 @@
   EndSend(failed ? SendResult::kFailed : SendResult::kAnswered);
   if (failed && AfterFailure(Facts()) == NextStep::kTryAnother &&
       mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
-    mCore.mCounters.Add(mCore.mRollouts.IsTrying(mService, mVersion)
+    mCore.mCounters.Add(mCore.mRollouts.IsRollingOut(mService, mVersion)
                           ? CounterId::kRetryNewVersion
                           : CounterId::kRetryUpstreamRefused);
     Dispatch();
--- a/src/gateway/ExchangeVersion.cpp
+++ b/src/gateway/ExchangeVersion.cpp
@@ -35,7 +35,7 @@
   const auto choice =
     isFirst ? mCore.mRollouts.ChooseFirst(
                 mService, mRoute->mName, mQuestion.mSeed, ready, now)
-            : mCore.mRollouts.ChooseRepeat(mService, ready, now);
+            : mCore.mRollouts.ChooseRetry(mService, ready, now);
   mQuestion.mVersions = choice.mFilter;
   mVersionReason = choice.mReason;
 }
@@ -49,8 +49,8 @@
            .mRoute = mRoute->mName,
            .mFailed = aFailed,
            .mPace = {},
-           .mFirst = {},
-           .mTook = mCore.mNow() - mSent.mSentAt };
+           .mFirstEvent = {},
+           .mTotalTime = mCore.mNow() - mSent.mSentAt };
 }
 
 // The time to the first event depends on what the engine keeps of the prompt,
@@ -59,14 +59,14 @@
 void
 Exchange::NoteVersion(bool aFailed)
 {
-  if (aFailed && mCore.mRollouts.IsTrying(mService, mVersion)) {
+  if (aFailed && mCore.mRollouts.IsRollingOut(mService, mVersion)) {
     mCore.mCounters.Add(observe::CounterId::kNewVersionFailed);
   }
   rollout::VersionAnswer answer = VersionAnswerOf(aFailed);
   if (!mIsStream) {
     answer.mPace = mCore.mNow() - mSent.mSentAt;
   } else if (mPieces > 0) {
-    answer.mFirst =
+    answer.mFirstEvent =
       RatioOf(mFirstPieceAt - mSent.mSentAt,
               mCore.mBoard.TimeToRead(mService, mQuestion.mPrompt.Tokens()));
     if (mPieces > kLeastGaps) {
@@ -74,7 +74,7 @@
                      static_cast<Duration::rep>(mPieces - 1);
     }
   }
-  mCore.mRollouts.NoteAnswer(answer);
+  mCore.mRollouts.RecordAnswer(answer);
 }
 
 // An answer that doesn't come is as slow as it was waited for.
@@ -89,10 +89,10 @@
   if (mRoute->mKind != RequestKind::kStreaming) {
     answer.mPace = waited;
   } else if (mPieces == 0) {
-    answer.mFirst = RatioOf(
+    answer.mFirstEvent = RatioOf(
       waited, mCore.mBoard.TimeToRead(mService, mQuestion.mPrompt.Tokens()));
   }
-  mCore.mRollouts.NoteAnswer(answer);
+  mCore.mRollouts.RecordAnswer(answer);
 }
 
 } // namespace peridotspool::gateway
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -108,7 +108,7 @@
 GatewayCore::Take(const rollout::RolloutUpdate& aUpdate)
 {
   const std::uint64_t before = mRollouts.Number();
-  mRollouts.Take(aUpdate, mNow());
+  mRollouts.ApplyUpdate(aUpdate, mNow());
   if (mRollouts.Number() != before) {
     mLogger.Log(observe::EventId::kRolloutTaken,
                 { { "number", mRollouts.Number() },
--- a/src/gateway/UpstreamBoardChoice.cpp
+++ b/src/gateway/UpstreamBoardChoice.cpp
@@ -92,7 +92,7 @@
       candidates.push_back(&belief);
     }
   }
-  const std::size_t most = aQuestion.mVersions.mMost;
+  const std::size_t most = aQuestion.mVersions.mMaxUpstreams;
   if (most != 0 && candidates.size() > most) {
     // The same ones for all requests and at all entries.
     candidates = Ordered(std::move(candidates), kTriedSeed);
--- a/src/rollout/AllowanceAccount.cpp
+++ b/src/rollout/AllowanceAccount.cpp
@@ -7,12 +7,12 @@
 // An entry whose newest update is known to have arrived says itself what it may
 // still use. Any other one may yet take what is under way to it.
 void
-AllowanceAccount::Take(std::uint64_t aLife,
-                       const RolloutProgress& aProgress,
-                       std::uint64_t aSequence)
+AllowanceAccount::RecordProgress(std::uint64_t aIncarnation,
+                                 const RolloutProgress& aProgress,
+                                 std::uint64_t aSequence)
 {
-  const auto [place, added] = mHolders.try_emplace(aLife);
-  Holder& holder = place->second;
+  const auto [position, added] = mHolders.try_emplace(aIncarnation);
+  Holder& holder = position->second;
   if (added) {
     holder.mAllowed = aProgress.mUsed;
   }
@@ -25,19 +25,19 @@
 }
 
 std::uint64_t
-AllowanceAccount::Allow(std::uint64_t aLife,
+AllowanceAccount::Allow(std::uint64_t aIncarnation,
                         std::uint64_t aUnused,
                         std::uint64_t aReserved,
                         std::uint64_t aSequence)
 {
-  Holder& holder = mHolders[aLife];
+  Holder& holder = mHolders[aIncarnation];
   holder.mSequence = aSequence;
   const std::uint64_t wanted =
     std::max(holder.mAllowed, holder.mUsed + aUnused) - holder.mAllowed;
-  const std::uint64_t room = aReserved - std::min(aReserved, mSpent);
-  const std::uint64_t given = std::min(wanted, room);
-  holder.mAllowed += given;
-  mSpent += given;
+  const std::uint64_t available = aReserved - std::min(aReserved, mSpent);
+  const std::uint64_t granted = std::min(wanted, available);
+  holder.mAllowed += granted;
+  mSpent += granted;
   return holder.mAllowed;
 }
 
--- a/src/rollout/RolloutController.cpp
+++ b/src/rollout/RolloutController.cpp
@@ -1,6 +1,6 @@
 #include "peridotspool/rollout/RolloutController.h"
 
-#include "peridotspool/rollout/FigureScale.h"
+#include "peridotspool/rollout/LogHistogram.h"
 
 #include <algorithm>
 #include <array>
@@ -12,31 +12,31 @@
 
 /** Of the exposure that a bad version may have, what is used to watch it. The
  * rest is for what shows only while its share rises. */
-constexpr double kWatchPart = 0.8;
-constexpr double kWatchSlackPart = 0.6;
+constexpr double kWatchExposureShare = 0.8;
+constexpr double kWatchSlackShare = 0.6;
 /** Unused requests that an entry is allowed at a time. */
-constexpr std::uint64_t kUnusedEach = 1;
+constexpr std::uint64_t kUnusedPerEntry = 1;
 /** Reserved ahead of what is spent, in one change of the log. */
 constexpr std::uint64_t kReserveAhead = 16;
 /** Answers of the new version by which it is judged, where there are as many
  * to be had. */
-constexpr std::uint64_t kEnoughAnswers = 20;
-constexpr std::uint32_t kWholeShare = 1000;
+constexpr std::uint64_t kMinAnswers = 20;
+constexpr std::uint32_t kFullShare = 1000;
 /** The part of the old version's answers that a drain waits for. */
-constexpr double kMostAnswers = 0.99;
+constexpr double kDrainQuantile = 0.99;
 constexpr std::array<std::uint32_t, 2> kShiftShares = { 250, 500 };
 /** Entries report three times a second. */
-constexpr Duration kReportedWithin = std::chrono::milliseconds(2500);
-constexpr Duration kDrainsFor = std::chrono::milliseconds(700);
+constexpr Duration kEntryReportTimeout = std::chrono::milliseconds(2500);
+constexpr Duration kMinDrainTime = std::chrono::milliseconds(700);
 
 /** A version that turns bad is judged by its answers of this span. */
-constexpr Duration kRecent = std::chrono::seconds(2);
+constexpr Duration kRecentSpan = std::chrono::seconds(2);
 /** Putting the reports of hundreds of entries together takes milliseconds. */
-constexpr Duration kMergeEach = std::chrono::milliseconds(200);
-constexpr Duration kKeptEach = std::chrono::milliseconds(500);
+constexpr Duration kMergeInterval = std::chrono::milliseconds(200);
+constexpr Duration kHistoryInterval = std::chrono::milliseconds(500);
 
 std::uint64_t
-AnswersOfNew(const AnswersByRoute& aAnswers)
+CountNewAnswers(const AnswersByRoute& aAnswers)
 {
   std::uint64_t count = 0;
   for (const auto& [route, answers] : aAnswers) {
@@ -50,44 +50,45 @@
 } // namespace
 
 void
-RolloutController::Take(const RolloutReport& aReport,
-                        std::uint64_t aTerm,
-                        TimePoint aNow)
+RolloutController::HandleReport(const RolloutReport& aReport,
+                                std::uint64_t aTerm,
+                                TimePoint aNow)
 {
   const std::uint64_t sequence = aReport.mTerm == aTerm ? aReport.mSequence : 0;
   for (const RolloutProgress& progress : aReport.mProgress) {
     const auto run = mRuns.find(progress.mRollout);
     if (run != mRuns.end()) {
-      run->second.mAccount.Take(aReport.mLife, progress, sequence);
+      run->second.mAccount.RecordProgress(aReport.mLife, progress, sequence);
       run->second.mProgress[aReport.mLife] = { progress, aNow };
     }
   }
 }
 
 bool
-RolloutController::Listens(const Run& aRun, TimePoint aNow) const
+RolloutController::IsObserving(const Run& aRun, TimePoint aNow) const
 {
-  return aNow - aRun.mSeenAt < mOptions.mListenFor &&
-         aRun.mSeenAt - aRun.mOrderedAt > mOptions.mListenFor;
+  return aNow - aRun.mFirstSeenAt < mOptions.mObservationPeriod &&
+         aRun.mFirstSeenAt - aRun.mOrderedAt > mOptions.mObservationPeriod;
 }
 
 std::uint64_t
-RolloutController::Bound(const Run& aRun) const
+RolloutController::ExposureBound(const Run& aRun) const
 {
   std::uint64_t requests = 0;
-  for (const auto& [life, progress] : aRun.mProgress) {
+  for (const auto& [incarnation, progress] : aRun.mProgress) {
     requests += progress.mLast.mRequests;
   }
-  return static_cast<std::uint64_t>(std::floor(
-    kWatchPart * mOptions.mExposeShare * static_cast<double>(requests) +
-    kWatchSlackPart * mOptions.mExposeSlack));
+  return static_cast<std::uint64_t>(
+    std::floor(kWatchExposureShare * mOptions.mMaxExposureShare *
+                 static_cast<double>(requests) +
+               kWatchSlackShare * mOptions.mExposureSlack));
 }
 
 AnswersByRoute
 RolloutController::Merged(const Run& aRun)
 {
   AnswersByRoute answers;
-  for (const auto& [life, progress] : aRun.mProgress) {
+  for (const auto& [incarnation, progress] : aRun.mProgress) {
     for (const AnswerTally& tally : progress.mLast.mTallies) {
       RouteAnswers& route = answers[tally.mRoute];
       AddTally(tally.mUpstream.IsSet() ? route.mNew[tally.mUpstream]
@@ -103,43 +104,43 @@
 void
 RolloutController::Reschedule(Run& aRun, const Rollout& aRollout)
 {
-  FigureCounts took;
+  BucketCounts took;
   for (const auto& [route, answers] : aRun.mAnswers) {
-    for (const auto& [place, count] : answers.mOld.mTook) {
+    for (const auto& [place, count] : answers.mOld.mTotalTime) {
       took[place] += count;
     }
   }
-  if (CountOf(took) < kEnoughAnswers) {
+  if (TotalCount(took) < kMinAnswers) {
     return;
   }
   const auto longest = std::chrono::duration_cast<Duration>(
     std::chrono::duration<double, std::milli>(
-      LargestOf(QuantileClass(took, kMostAnswers))));
+      BucketUpperBound(QuantileBucket(took, kDrainQuantile))));
   aRun.mSchedule = ScheduleFor(aRollout.mOrder.mDuration, longest);
 }
 
 // Answers from before a version turned bad would hide those that came since.
 std::optional<VersionEvidence>
-RolloutController::Evidence(Run& aRun, TimePoint aNow) const
+RolloutController::FindEvidence(Run& aRun, TimePoint aNow) const
 {
   const AnswersByRoute& answers = aRun.mAnswers;
-  auto& earlier = aRun.mEarlier;
-  if (earlier.empty() || aNow - earlier.back().first >= kKeptEach) {
-    earlier.emplace_back(aNow, answers);
+  auto& history = aRun.mHistory;
+  if (history.empty() || aNow - history.back().first >= kHistoryInterval) {
+    history.emplace_back(aNow, answers);
   }
-  while (earlier.size() > 1 && aNow - earlier[1].first >= kRecent) {
-    earlier.pop_front();
+  while (history.size() > 1 && aNow - history[1].first >= kRecentSpan) {
+    history.pop_front();
   }
-  auto inAll = Judge(answers);
-  if (inAll && inAll->IsBad()) {
-    return inAll;
+  auto overall = CompareVersions(answers);
+  if (overall && overall->IsBad()) {
+    return overall;
   }
-  const double looks =
-    1.0 + static_cast<double>(aRun.mSchedule.mFinishBy / kRecent);
-  auto recent = Judge(Since(answers, earlier.front().second), looks);
-  const bool tellsMore =
-    recent && inAll && recent->mLogEvidence > inAll->mLogEvidence;
-  return tellsMore ? recent : inAll;
+  const double tests =
+    1.0 + static_cast<double>(aRun.mSchedule.mFinishBy / kRecentSpan);
+  auto recent = CompareVersions(Since(answers, history.front().second), tests);
+  const bool isStronger =
+    recent && overall && recent->mLogEvidence > overall->mLogEvidence;
+  return isStronger ? recent : overall;
 }
 
 // The leader before found the version fit for a share. Entries still work by it
@@ -150,8 +151,8 @@
   if (aRollout.mShare == 0 || aRun.mStage != RolloutStage::kWatching) {
     return;
   }
-  aRun.mStage = aRollout.mShare == kWholeShare ? RolloutStage::kDraining
-                                               : RolloutStage::kShifting;
+  aRun.mStage = aRollout.mShare == kFullShare ? RolloutStage::kDraining
+                                              : RolloutStage::kShifting;
   aRun.mShare = aRollout.mShare;
   aRun.mStageAt = aNow;
 }
@@ -161,11 +162,11 @@
 bool
 RolloutController::MayShift(const Run& aRun, const VersionPools& aPools) const
 {
-  const auto possible =
-    static_cast<double>(Bound(aRun)) - kWatchSlackPart * mOptions.mExposeSlack;
+  const auto possible = static_cast<double>(ExposureBound(aRun)) -
+                        kWatchSlackShare * mOptions.mExposureSlack;
   const auto needed = std::min<std::uint64_t>(
-    kEnoughAnswers, static_cast<std::uint64_t>(std::max(0.0, possible)));
-  return AnswersOfNew(aRun.mAnswers) >= needed &&
+    kMinAnswers, static_cast<std::uint64_t>(std::max(0.0, possible)));
+  return CountNewAnswers(aRun.mAnswers) >= needed &&
          aPools.mNew >= (aPools.mOld + 1) / 2;
 }
 
@@ -175,25 +176,26 @@
   return std::all_of(
     aRun.mProgress.begin(), aRun.mProgress.end(), [&](const auto& aPair) {
       const Progress& progress = aPair.second;
-      const bool isThere = aNow - progress.mHeardAt < kReportedWithin;
-      return !isThere || (progress.mLast.mShare == kWholeShare &&
-                          progress.mLast.mOldRunning == 0);
+      const bool isReporting =
+        aNow - progress.mReportedAt < kEntryReportTimeout;
+      return !isReporting || (progress.mLast.mShare == kFullShare &&
+                              progress.mLast.mOldRunning == 0);
     });
 }
 
 void
-RolloutController::Enter(Run& aRun,
-                         const Rollout& aRollout,
-                         const VersionPools& aPools,
-                         RolloutStage aStage,
-                         std::uint32_t aShare,
-                         TimePoint aNow,
-                         RolloutStep& aStep)
+RolloutController::EnterStage(Run& aRun,
+                              const Rollout& aRollout,
+                              const VersionPools& aPools,
+                              RolloutStage aStage,
+                              std::uint32_t aShare,
+                              TimePoint aNow,
+                              RolloutStep& aStep)
 {
   aRun.mStage = aStage;
   aRun.mStageAt = aNow;
   aRun.mShare = aShare;
-  const auto evidence = Judge(aRun.mAnswers);
+  const auto evidence = CompareVersions(aRun.mAnswers);
   RolloutNotice notice{ .mRollout = aRollout.mId,
                         .mService = aRollout.mOrder.mService,
                         .mTo = aRollout.mOrder.mTo,
@@ -204,7 +206,7 @@
                           aRollout.mOrder.mDuration - (aNow - aRun.mOrderedAt),
                         .mPools = aPools,
                         .mEvidence = evidence ? ToText(*evidence) : "none" };
-  for (const auto& [life, progress] : aRun.mProgress) {
+  for (const auto& [incarnation, progress] : aRun.mProgress) {
     notice.mRequests += progress.mLast.mRequests;
     notice.mUsed += progress.mLast.mUsed;
     notice.mOldRunning += progress.mLast.mOldRunning;
@@ -221,12 +223,12 @@
 {
   const Duration elapsed = aNow - aRun.mOrderedAt;
   const auto enter = [&](RolloutStage aStage, std::uint32_t aShare) {
-    Enter(aRun, aRollout, aPools, aStage, aShare, aNow, aStep);
+    EnterStage(aRun, aRollout, aPools, aStage, aShare, aNow, aStep);
   };
-  if (aRun.mStage == RolloutStage::kStopped || Listens(aRun, aNow)) {
+  if (aRun.mStage == RolloutStage::kStopped || IsObserving(aRun, aNow)) {
     return;
   }
-  const auto evidence = Evidence(aRun, aNow);
+  const auto evidence = FindEvidence(aRun, aNow);
   if (evidence && evidence->IsBad()) {
     aRun.mReason = ToText(*evidence);
     enter(RolloutStage::kStopped, 0);
@@ -263,7 +265,7 @@
   if (!isShort && next != kShiftShares.end()) {
     enter(RolloutStage::kShifting, *next);
   } else {
-    enter(RolloutStage::kDraining, kWholeShare);
+    enter(RolloutStage::kDraining, kFullShare);
   }
 }
 
@@ -274,13 +276,14 @@
                            TimePoint aNow,
                            RolloutStep& aStep) const
 {
-  if (aRun.mProposedAt && aNow - *aRun.mProposedAt < mOptions.mProposeAgain) {
+  if (aRun.mProposedAt &&
+      aNow - *aRun.mProposedAt < mOptions.mProposalRetryInterval) {
     return;
   }
   const bool isDrained =
     aRun.mStage == RolloutStage::kDraining &&
     (aNow - aRun.mOrderedAt >= aRun.mSchedule.mFinishBy ||
-     (aNow - aRun.mStageAt >= kDrainsFor && IsDrained(aRun, aNow)));
+     (aNow - aRun.mStageAt >= kMinDrainTime && IsDrained(aRun, aNow)));
   if (isDrained || aRun.mStage == RolloutStage::kStopped) {
     aStep.mChanges.emplace_back(
       RolloutEnd{ .mId = aRollout.mId,
@@ -296,10 +299,11 @@
       RolloutAdvance{ .mId = aRollout.mId, .mShare = aRun.mShare });
   }
   const std::uint64_t spent = aRun.mAccount.Spent();
-  const std::uint64_t wanted = std::min(Bound(aRun), spent + kReserveAhead);
+  const std::uint64_t wanted =
+    std::min(ExposureBound(aRun), spent + kReserveAhead);
   const bool isShort = aRollout.mReserved < spent + kReserveAhead / 2;
   if (aRun.mStage == RolloutStage::kWatching && isShort &&
-      wanted > aRollout.mReserved && !Listens(aRun, aNow)) {
+      wanted > aRollout.mReserved && !IsObserving(aRun, aNow)) {
     aStep.mChanges.emplace_back(
       RolloutAdvance{ .mId = aRollout.mId, .mReserved = wanted });
   }
@@ -331,12 +335,12 @@
     const auto found = aPools.find(rollout.mOrder.mService);
     const VersionPools pools =
       found == aPools.end() ? VersionPools() : found->second;
-    if (added || aNow - run.mMergedAt >= kMergeEach) {
+    if (added || aNow - run.mMergedAt >= kMergeInterval) {
       run.mMergedAt = aNow;
       run.mAnswers = Merged(run);
     }
     if (added) {
-      Enter(run, rollout, pools, RolloutStage::kWatching, 0, aNow, step);
+      EnterStage(run, rollout, pools, RolloutStage::kWatching, 0, aNow, step);
     }
     Advance(run, rollout, pools, aNow, step);
     Propose(run, rollout, aMicros, aNow, step);
@@ -345,7 +349,7 @@
 }
 
 RolloutUpdate
-RolloutController::UpdateFor(std::uint64_t aLife,
+RolloutController::UpdateFor(std::uint64_t aIncarnation,
                              const RolloutTable& aTable,
                              std::uint64_t aTerm)
 {
@@ -369,7 +373,7 @@
         versions.mRunning->mShare = run->second.mShare;
         if (watches) {
           versions.mRunning->mAllowed = run->second.mAccount.Allow(
-            aLife, kUnusedEach, latest.mReserved, update.mSequence);
+            aIncarnation, kUnusedPerEntry, latest.mReserved, update.mSequence);
         }
       }
     }
--- a/src/rollout/RolloutGate.cpp
+++ b/src/rollout/RolloutGate.cpp
@@ -1,6 +1,6 @@
 #include "peridotspool/rollout/RolloutGate.h"
 
-#include "peridotspool/rollout/FigureScale.h"
+#include "peridotspool/rollout/LogHistogram.h"
 
 #include <algorithm>
 #include <chrono>
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr std::uint32_t kWholeShare = 1000;
+constexpr std::uint32_t kFullShare = 1000;
 /** Share of the new version's upstreams that watched requests are sent to: few,
  * so that faults which need load show while the version gets few requests. */
-constexpr double kTriedPart = 0.15;
-constexpr std::size_t kLeastTried = 2;
+constexpr double kCanaryUpstreamShare = 0.15;
+constexpr std::size_t kMinCanaryUpstreams = 2;
 /** Probability of using an allowance for a request; it rises by as much with
- * each kUnusedSpan that the allowance stays unused. */
-constexpr double kTriedRequests = 0.15;
-constexpr Duration kUnusedSpan = std::chrono::milliseconds(250);
+ * each kUnusedInterval that the allowance stays unused. */
+constexpr double kCanaryProbability = 0.15;
+constexpr Duration kUnusedInterval = std::chrono::milliseconds(250);
 constexpr double kHundredths = 100.0;
 /** Routes with figures in a report; an operator may have hundreds. */
-constexpr std::size_t kMostTallies = 256;
+constexpr std::size_t kMaxTallies = 256;
 
 double
 Milliseconds(Duration aDuration)
@@ -31,11 +31,11 @@
 }
 
 std::size_t
-TriedOf(std::size_t aReady)
+CanaryUpstreams(std::size_t aReady)
 {
-  return std::max(kLeastTried,
-                  static_cast<std::size_t>(
-                    std::ceil(kTriedPart * static_cast<double>(aReady))));
+  return std::max(kMinCanaryUpstreams,
+                  static_cast<std::size_t>(std::ceil(
+                    kCanaryUpstreamShare * static_cast<double>(aReady))));
 }
 
 std::size_t
@@ -48,7 +48,7 @@
 } // namespace
 
 void
-RolloutGate::Take(const RolloutUpdate& aUpdate, TimePoint aNow)
+RolloutGate::ApplyUpdate(const RolloutUpdate& aUpdate, TimePoint aNow)
 {
   const auto order = std::pair(aUpdate.mTerm, aUpdate.mSequence);
   if (order <= std::pair(mTerm, mSequence)) {
@@ -100,22 +100,22 @@
 // Upstreams of a new version may announce themselves before the order that they
 // belong to has arrived here.
 VersionChoice
-RolloutGate::Unordered(const ServiceName& aService,
-                       const ReadyByVersion& aReady)
+RolloutGate::ChooseWithoutRollout(const ServiceName& aService,
+                                  const ReadyByVersion& aReady)
 {
   VersionChoice choice;
-  if (!Knows() && aReady.size() > 1) {
+  if (!HasUpdate() && aReady.size() > 1) {
     for (const auto& [version, ready] : aReady) {
       choice.mFilter.mExcept.push_back(version);
     }
     choice.mReason = "rollouts are not known yet";
     return choice;
   }
-  std::set<VersionName>& first = mFirst[aService];
-  const auto isThere = [&](const VersionName& aVersion) {
+  std::set<VersionName>& first = mInitialVersions[aService];
+  const auto isReady = [&](const VersionName& aVersion) {
     return ReadyOf(aReady, aVersion) != 0;
   };
-  if (std::none_of(first.begin(), first.end(), isThere)) {
+  if (std::none_of(first.begin(), first.end(), isReady)) {
     first.clear();
     for (const auto& [version, ready] : aReady) {
       first.insert(version);
@@ -131,7 +131,7 @@
 }
 
 VersionFilter
-RolloutGate::OldOnly(const ServiceVersions& aVersions)
+RolloutGate::OldVersionsOnly(const ServiceVersions& aVersions)
 {
   VersionFilter filter;
   if (aVersions.mCurrent.IsSet()) {
@@ -147,36 +147,38 @@
 // Routes get equal numbers of requests to the new version, whatever their
 // traffic: a fault may be limited to a rarely used route.
 bool
-RolloutGate::MayTry(const Run& aRun,
-                    const std::string& aRoute,
-                    std::uint64_t aSeed,
-                    TimePoint aNow)
+RolloutGate::IsSampled(const Run& aRun,
+                       const std::string& aRoute,
+                       std::uint64_t aSeed,
+                       TimePoint aNow)
 {
   const auto requests = static_cast<double>(aRun.mChoices);
   const auto here = static_cast<double>(aRun.mChoicesByRoute.at(aRoute));
   const auto routes = static_cast<double>(aRun.mChoicesByRoute.size());
-  const auto spans =
-    1.0 + static_cast<double>((aNow - aRun.mUnusedSince) / kUnusedSpan);
-  const double part = spans * kTriedRequests * requests / (routes * here);
-  return static_cast<double>(aSeed / kWholeShare % kWholeShare) <
-         part * kWholeShare;
+  const auto intervals =
+    1.0 + static_cast<double>((aNow - aRun.mUnusedSince) / kUnusedInterval);
+  const double part =
+    intervals * kCanaryProbability * requests / (routes * here);
+  return static_cast<double>(aSeed / kFullShare % kFullShare) <
+         part * kFullShare;
 }
 
 bool
-RolloutGate::TriesNew(Run& aRun,
-                      const std::string& aRoute,
-                      std::uint64_t aSeed,
-                      TimePoint aNow,
-                      const char*& aReason)
+RolloutGate::SelectsNewVersion(Run& aRun,
+                               const std::string& aRoute,
+                               std::uint64_t aSeed,
+                               TimePoint aNow,
+                               const char*& aReason)
 {
   if (!HoldsLease(aNow)) {
     return false;
   }
-  if (aSeed % kWholeShare < aRun.mShare.mShare) {
+  if (aSeed % kFullShare < aRun.mShare.mShare) {
     aReason = "the new version's share";
     return true;
   }
-  if (aRun.mUsed < aRun.mShare.mAllowed && MayTry(aRun, aRoute, aSeed, aNow)) {
+  if (aRun.mUsed < aRun.mShare.mAllowed &&
+      IsSampled(aRun, aRoute, aSeed, aNow)) {
     ++aRun.mUsed;
     aRun.mUnusedSince = aNow;
     aReason = "the new version is tried";
@@ -195,39 +197,42 @@
   const ServiceVersions* versions = Find(aService);
   Run* run = RunOf(aService);
   if (versions == nullptr || run == nullptr) {
-    return ChooseRepeat(aService, aReady, aNow);
+    return ChooseRetry(aService, aReady, aNow);
   }
-  if (run->mChoicesByRoute.size() < kMostTallies ||
+  if (run->mChoicesByRoute.size() < kMaxTallies ||
       run->mChoicesByRoute.contains(aRoute)) {
     ++run->mChoicesByRoute[aRoute];
     ++run->mChoices;
   } else {
-    return ChooseRepeat(aService, aReady, aNow);
+    return ChooseRetry(aService, aReady, aNow);
   }
   const VersionName& to = run->mShare.mTo;
   const std::size_t ready = ReadyOf(aReady, to);
   const char* reason = nullptr;
-  if (ready == 0 || !TriesNew(*run, aRoute, aSeed, aNow, reason)) {
-    return ChooseRepeat(aService, aReady, aNow);
+  if (ready == 0 || !SelectsNewVersion(*run, aRoute, aSeed, aNow, reason)) {
+    return ChooseRetry(aService, aReady, aNow);
   }
-  const std::size_t most = run->mShare.mShare == 0 ? TriedOf(ready) : 0;
-  return { .mFilter = { .mOnly = to, .mExcept = {}, .mMost = most },
-           .mReason = reason };
+  const std::size_t maxUpstreams =
+    run->mShare.mShare == 0 ? CanaryUpstreams(ready) : 0;
+  return {
+    .mFilter = { .mOnly = to, .mExcept = {}, .mMaxUpstreams = maxUpstreams },
+    .mReason = reason
+  };
 }
 
 // At the end of the shift the old version's upstreams may stop at any moment;
 // an entry that has lost its lease then can't know whether they have.
 VersionChoice
-RolloutGate::ChooseRepeat(const ServiceName& aService,
-                          const ReadyByVersion& aReady,
-                          TimePoint aNow)
+RolloutGate::ChooseRetry(const ServiceName& aService,
+                         const ReadyByVersion& aReady,
+                         TimePoint aNow)
 {
   const ServiceVersions* versions = Find(aService);
   if (versions == nullptr) {
-    return Unordered(aService, aReady);
+    return ChooseWithoutRollout(aService, aReady);
   }
-  const VersionFilter old = OldOnly(*versions);
-  if (!versions->mRunning || versions->mRunning->mShare != kWholeShare) {
+  const VersionFilter old = OldVersionsOnly(*versions);
+  if (!versions->mRunning || versions->mRunning->mShare != kFullShare) {
     return { .mFilter = old, .mReason = "the version in force" };
   }
   if (HoldsLease(aNow) && ReadyOf(aReady, versions->mRunning->mTo) != 0) {
@@ -239,7 +244,7 @@
 }
 
 void
-RolloutGate::NoteSent(const ServiceName& aService)
+RolloutGate::RecordSent(const ServiceName& aService)
 {
   if (Run* run = RunOf(aService)) {
     ++run->mRequests;
@@ -247,7 +252,7 @@
 }
 
 void
-RolloutGate::NoteAnswer(const VersionAnswer& aAnswer)
+RolloutGate::RecordAnswer(const VersionAnswer& aAnswer)
 {
   Run* run = RunOf(aAnswer.mService);
   if (run == nullptr) {
@@ -256,7 +261,7 @@
   const bool isNew = aAnswer.mVersion == run->mShare.mTo;
   const auto key =
     std::pair(aAnswer.mRoute, isNew ? aAnswer.mUpstream : UpstreamName());
-  if (run->mTallies.size() >= kMostTallies && !run->mTallies.contains(key)) {
+  if (run->mTallies.size() >= kMaxTallies && !run->mTallies.contains(key)) {
     return;
   }
   AnswerTally& tally = run->mTallies[key];
@@ -265,19 +270,19 @@
   ++tally.mAnswers;
   tally.mFailed += aAnswer.mFailed ? 1 : 0;
   if (!isNew) {
-    ++tally.mTook[FigureClass(Milliseconds(aAnswer.mTook))];
+    ++tally.mTotalTime[HistogramBucket(Milliseconds(aAnswer.mTotalTime))];
   }
   if (aAnswer.mPace) {
-    ++tally.mPace[FigureClass(Milliseconds(*aAnswer.mPace))];
+    ++tally.mPace[HistogramBucket(Milliseconds(*aAnswer.mPace))];
   }
-  if (aAnswer.mFirst) {
-    ++tally.mFirst[FigureClass(kHundredths * *aAnswer.mFirst)];
+  if (aAnswer.mFirstEvent) {
+    ++tally.mFirstEvent[HistogramBucket(kHundredths * *aAnswer.mFirstEvent)];
   }
 }
 
 bool
-RolloutGate::IsTrying(const ServiceName& aService,
-                      const VersionName& aVersion) const
+RolloutGate::IsRollingOut(const ServiceName& aService,
+                          const VersionName& aVersion) const
 {
   const Run* run = RunOf(aService);
   return run != nullptr && run->mShare.mTo == aVersion;
@@ -291,14 +296,15 @@
 
 RolloutReport
 RolloutGate::Report(
-  std::uint64_t aLife,
+  std::uint64_t aIncarnation,
   const std::function<std::uint64_t(const ServiceName&, const VersionName&)>&
     aOldRunning,
   TimePoint aNow) const
 {
-  RolloutReport report{
-    .mLife = aLife, .mTerm = mTerm, .mSequence = mSequence, .mProgress = {}
-  };
+  RolloutReport report{ .mLife = aIncarnation,
+                        .mTerm = mTerm,
+                        .mSequence = mSequence,
+                        .mProgress = {} };
   for (const auto& [service, run] : mRuns) {
     const bool holds = HoldsLease(aNow);
     RolloutProgress progress{
--- a/src/rollout/RolloutTable.cpp
+++ b/src/rollout/RolloutTable.cpp
@@ -10,13 +10,14 @@
 constexpr std::size_t kMaxRolloutsEach = 16;
 /** An order for a version that was rolled back is a resent one for this long,
  * and a new one later. */
-constexpr std::chrono::microseconds kResendWindow = std::chrono::seconds(20);
+constexpr std::chrono::microseconds kResubmissionWindow =
+  std::chrono::seconds(20);
 
 bool
-IsResent(const RolloutOrder& aOrder, const Rollout& aKnown)
+IsResubmission(const RolloutOrder& aOrder, const Rollout& aKnown)
 {
   return aOrder.mOrderedMicros - aKnown.mOrder.mOrderedMicros <
-         kResendWindow.count();
+         kResubmissionWindow.count();
 }
 
 } // namespace
@@ -27,7 +28,7 @@
   const Rollout* latest = Latest(aOrder.mService);
   if (latest != nullptr && latest->mOrder.mTo == aOrder.mTo) {
     const bool isOver = latest->mState == RolloutState::kRolledBack;
-    if (!isOver || IsResent(aOrder, *latest)) {
+    if (!isOver || IsResubmission(aOrder, *latest)) {
       return OrderVerdict::kRepeated;
     }
   } else if (latest != nullptr && latest->IsRunning()) {
--- a/src/rollout/SequentialTest.cpp
+++ b/src/rollout/SequentialTest.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /** Points at which the mixture over larger shares is taken. */
-constexpr int kPoints = 64;
-constexpr double kMostTolerated = 0.5;
-/** How many times the old version's share is tolerated, by the spread that an
+constexpr int kMixturePoints = 64;
+constexpr double kMaxTolerated = 0.5;
+/** How many ratio the old version's share is tolerated, by the spread that an
  * average over upstreams has. */
-constexpr double kMostTimes = 2.0;
-constexpr double kTimesOfOne = 3.0;
+constexpr double kMaxRatio = 2.0;
+constexpr double kSingleUpstreamRatio = 3.0;
 /** Standard errors above the estimate. */
 constexpr double kUpperBound = 2.0;
 
@@ -31,10 +31,10 @@
 double
 LogEvidence(const AnswerCounts& aCounts, double aTolerated)
 {
-  const double width = (1.0 - aTolerated) / kPoints;
+  const double width = (1.0 - aTolerated) / kMixturePoints;
   std::vector<double> terms;
-  terms.reserve(kPoints);
-  for (int i = 0; i < kPoints; ++i) {
+  terms.reserve(kMixturePoints);
+  for (int i = 0; i < kMixturePoints; ++i) {
     terms.push_back(LogLikelihood(aCounts, aTolerated + (i + 0.5) * width));
   }
   const double largest = *std::max_element(terms.begin(), terms.end());
@@ -42,13 +42,12 @@
   for (const double term : terms) {
     sum += std::exp(term - largest);
   }
-  return largest + std::log(sum / kPoints) - LogLikelihood(aCounts, aTolerated);
+  return largest + std::log(sum / kMixturePoints) -
+         LogLikelihood(aCounts, aTolerated);
 }
 
 double
-ToleratedShare(const AnswerCounts& aOld,
-               double aLeast,
-               std::size_t aNewUpstreams)
+ToleratedShare(const AnswerCounts& aOld, double aMin, std::size_t aNewUpstreams)
 {
   const double answers = static_cast<double>(aOld.mAnswers) + 2.0;
   const double share = (static_cast<double>(aOld.mBad) + 1.0) / answers;
@@ -56,9 +55,9 @@
     share + kUpperBound * std::sqrt(share * (1.0 - share) / answers);
   const auto upstreams =
     static_cast<double>(std::max<std::size_t>(1, aNewUpstreams));
-  const double times =
-    std::min(kMostTimes, 1.0 + kTimesOfOne / std::sqrt(upstreams));
-  return std::clamp(times * bound, aLeast, std::max(aLeast, kMostTolerated));
+  const double ratio =
+    std::min(kMaxRatio, 1.0 + kSingleUpstreamRatio / std::sqrt(upstreams));
+  return std::clamp(ratio * bound, aMin, std::max(aMin, kMaxTolerated));
 }
 
 } // namespace peridotspool::rollout
--- a/src/rollout/VersionJudge.cpp
+++ b/src/rollout/VersionComparison.cpp
@@ -1,6 +1,6 @@
-#include "peridotspool/rollout/VersionJudge.h"
+#include "peridotspool/rollout/VersionComparison.h"
 
-#include "peridotspool/rollout/FigureScale.h"
+#include "peridotspool/rollout/LogHistogram.h"
 
 #include <boost/describe/enum_to_string.hpp>
 
@@ -15,39 +15,42 @@
 namespace {
 
 /** Chance that a sound version is ever rolled back by the tests together. */
-constexpr double kFalseAlarm = 0.003;
+constexpr double kFalsePositiveRate = 0.003;
 /** Shares that a sound version may show by chance and by cold caches. */
-constexpr double kLeastFailures = 0.02;
-constexpr double kLeastSlow = 0.15;
+constexpr double kMinToleratedFailures = 0.02;
+constexpr double kMinToleratedSlow = 0.15;
 /** An answer this many times slower than the old version's median is bad. */
-constexpr double kSlowTimes = 2.5;
+constexpr double kSlowFactor = 2.5;
 /** Hundredths: reading the whole prompt, beside others, takes less. */
-constexpr double kMostFirst = 250.0;
+constexpr double kMinSlowFirstEvent = 250.0;
 constexpr double kMedian = 0.5;
-constexpr std::array kTraits = { Trait::kFailures,
-                                 Trait::kPace,
-                                 Trait::kFirstEvent };
+constexpr std::array kMetrics = { ComparedMetric::kFailures,
+                                  ComparedMetric::kPace,
+                                  ComparedMetric::kFirstEvent };
 
 AnswerCounts
-CountsOf(const AnswerTally& aTally, Trait aTrait, std::uint32_t aSlowClass)
+CountsOf(const AnswerTally& aTally,
+         ComparedMetric aTrait,
+         std::uint32_t aSlowBucket)
 {
-  if (aTrait == Trait::kFailures) {
+  if (aTrait == ComparedMetric::kFailures) {
     return { .mAnswers = aTally.mAnswers, .mBad = aTally.mFailed };
   }
-  const FigureCounts& figures =
-    aTrait == Trait::kPace ? aTally.mPace : aTally.mFirst;
-  return { .mAnswers = CountOf(figures),
-           .mBad = CountAbove(figures, aSlowClass) };
+  const BucketCounts& figures =
+    aTrait == ComparedMetric::kPace ? aTally.mPace : aTally.mFirstEvent;
+  return { .mAnswers = TotalCount(figures),
+           .mBad = CountAboveBucket(figures, aSlowBucket) };
 }
 
 std::uint32_t
-SlowClass(const AnswerTally& aOld, Trait aTrait)
+SlowBucket(const AnswerTally& aOld, ComparedMetric aTrait)
 {
-  if (aTrait == Trait::kPace) {
-    return QuantileClass(aOld.mPace, kMedian) + ClassesFor(kSlowTimes);
+  if (aTrait == ComparedMetric::kPace) {
+    return QuantileBucket(aOld.mPace, kMedian) + BucketsForRatio(kSlowFactor);
   }
-  return std::max(QuantileClass(aOld.mFirst, kMedian) + ClassesFor(kSlowTimes),
-                  FigureClass(kMostFirst));
+  return std::max(QuantileBucket(aOld.mFirstEvent, kMedian) +
+                    BucketsForRatio(kSlowFactor),
+                  HistogramBucket(kMinSlowFirstEvent));
 }
 
 AnswerCounts
@@ -63,7 +66,7 @@
 
 /** The worst upstream counts as if it were as bad as all others together. */
 AnswerCounts
-WithWorstAsOthers(const std::map<UpstreamName, AnswerCounts>& aCounts)
+LimitWorstUpstream(const std::map<UpstreamName, AnswerCounts>& aCounts)
 {
   AnswerCounts others = Sum(aCounts);
   if (aCounts.size() < 2) {
@@ -76,10 +79,10 @@
   const AnswerCounts& one = worst->second;
   others.mAnswers -= one.mAnswers;
   others.mBad -= one.mBad;
-  const std::uint64_t alike =
+  const std::uint64_t atOthersRate =
     others.mAnswers == 0 ? 0 : one.mAnswers * others.mBad / others.mAnswers;
   return { .mAnswers = others.mAnswers + one.mAnswers,
-           .mBad = others.mBad + std::min(one.mBad, alike) };
+           .mBad = others.mBad + std::min(one.mBad, atOthersRate) };
 }
 
 /** One comparison's counts; the new version's by upstream. */
@@ -101,12 +104,12 @@
 }
 
 Comparison
-Compare(const RouteAnswers& aAnswers, Trait aTrait)
+Compare(const RouteAnswers& aAnswers, ComparedMetric aTrait)
 {
-  const std::uint32_t slow = SlowClass(aAnswers.mOld, aTrait);
+  const std::uint32_t slow = SlowBucket(aAnswers.mOld, aTrait);
   Comparison comparison{ .mNew = {},
                          .mOld = CountsOf(aAnswers.mOld, aTrait, slow) };
-  const bool isTiming = aTrait != Trait::kFailures;
+  const bool isTiming = aTrait != ComparedMetric::kFailures;
   if (isTiming && comparison.mOld.mAnswers == 0) {
     return {};
   }
@@ -117,18 +120,19 @@
 }
 
 VersionEvidence
-Weigh(const std::string& aRoute,
-      Trait aTrait,
-      const Comparison& aComparison,
-      double aThreshold)
+EvaluateEvidence(const std::string& aRoute,
+                 ComparedMetric aTrait,
+                 const Comparison& aComparison,
+                 double aThreshold)
 {
-  const AnswerCounts counts = WithWorstAsOthers(aComparison.mNew);
+  const AnswerCounts counts = LimitWorstUpstream(aComparison.mNew);
   const double tolerated =
     ToleratedShare(aComparison.mOld,
-                   aTrait == Trait::kFailures ? kLeastFailures : kLeastSlow,
+                   aTrait == ComparedMetric::kFailures ? kMinToleratedFailures
+                                                       : kMinToleratedSlow,
                    aComparison.mNew.size());
   return { .mRoute = aRoute,
-           .mTrait = aTrait,
+           .mMetric = aTrait,
            .mNew = counts,
            .mOld = aComparison.mOld,
            .mTolerated = tolerated,
@@ -137,35 +141,35 @@
 }
 
 void
-AddFigures(FigureCounts& aTo, const FigureCounts& aFrom)
+AddCounts(BucketCounts& aTo, const BucketCounts& aFrom)
 {
-  for (const auto& [place, count] : aFrom) {
-    aTo[place] += count;
+  for (const auto& [bucket, count] : aFrom) {
+    aTo[bucket] += count;
   }
 }
 
 std::uint64_t
-Less(std::uint64_t aFrom, std::uint64_t aTaken)
+SaturatingSubtract(std::uint64_t aFrom, std::uint64_t aSubtracted)
 {
-  return aFrom - std::min(aFrom, aTaken);
+  return aFrom - std::min(aFrom, aSubtracted);
 }
 
 void
-TakeFigures(FigureCounts& aFrom, const FigureCounts& aTaken)
+SubtractCounts(BucketCounts& aFrom, const BucketCounts& aSubtracted)
 {
-  for (const auto& [place, count] : aTaken) {
-    std::uint64_t& left = aFrom[place];
-    left = Less(left, count);
+  for (const auto& [bucket, count] : aSubtracted) {
+    std::uint64_t& left = aFrom[bucket];
+    left = SaturatingSubtract(left, count);
   }
 }
 
 void
-TakeTally(AnswerTally& aFrom, const AnswerTally& aTaken)
+SubtractTally(AnswerTally& aFrom, const AnswerTally& aSubtracted)
 {
-  aFrom.mAnswers = Less(aFrom.mAnswers, aTaken.mAnswers);
-  aFrom.mFailed = Less(aFrom.mFailed, aTaken.mFailed);
-  TakeFigures(aFrom.mPace, aTaken.mPace);
-  TakeFigures(aFrom.mFirst, aTaken.mFirst);
+  aFrom.mAnswers = SaturatingSubtract(aFrom.mAnswers, aSubtracted.mAnswers);
+  aFrom.mFailed = SaturatingSubtract(aFrom.mFailed, aSubtracted.mFailed);
+  SubtractCounts(aFrom.mPace, aSubtracted.mPace);
+  SubtractCounts(aFrom.mFirstEvent, aSubtracted.mFirstEvent);
 }
 
 } // namespace
@@ -175,9 +179,9 @@
 {
   aTo.mAnswers += aFrom.mAnswers;
   aTo.mFailed += aFrom.mFailed;
-  AddFigures(aTo.mPace, aFrom.mPace);
-  AddFigures(aTo.mFirst, aFrom.mFirst);
-  AddFigures(aTo.mTook, aFrom.mTook);
+  AddCounts(aTo.mPace, aFrom.mPace);
+  AddCounts(aTo.mFirstEvent, aFrom.mFirstEvent);
+  AddCounts(aTo.mTotalTime, aFrom.mTotalTime);
 }
 
 AnswersByRoute
@@ -189,11 +193,11 @@
     if (before == aBefore.end()) {
       continue;
     }
-    TakeTally(answers.mOld, before->second.mOld);
+    SubtractTally(answers.mOld, before->second.mOld);
     for (auto& [upstream, tally] : answers.mNew) {
       const auto known = before->second.mNew.find(upstream);
       if (known != before->second.mNew.end()) {
-        TakeTally(tally, known->second);
+        SubtractTally(tally, known->second);
       }
     }
   }
@@ -201,23 +205,23 @@
 }
 
 std::optional<VersionEvidence>
-Judge(const AnswersByRoute& aAnswers, double aLooks)
+CompareVersions(const AnswersByRoute& aAnswers, double aSpans)
 {
   if (aAnswers.empty()) {
     return std::nullopt;
   }
   const double tests =
-    static_cast<double>(kTraits.size() * (aAnswers.size() + 1));
-  const double threshold = std::log(aLooks * tests / kFalseAlarm);
+    static_cast<double>(kMetrics.size() * (aAnswers.size() + 1));
+  const double threshold = std::log(aSpans * tests / kFalsePositiveRate);
   std::vector<VersionEvidence> evidence;
-  for (const Trait trait : kTraits) {
+  for (const ComparedMetric trait : kMetrics) {
     Comparison all;
     for (const auto& [route, answers] : aAnswers) {
       const Comparison one = Compare(answers, trait);
       Add(all, one);
-      evidence.push_back(Weigh(route, trait, one, threshold));
+      evidence.push_back(EvaluateEvidence(route, trait, one, threshold));
     }
-    evidence.push_back(Weigh("all", trait, all, threshold));
+    evidence.push_back(EvaluateEvidence("all", trait, all, threshold));
   }
   return *std::max_element(
     evidence.begin(), evidence.end(), [](const auto& aOne, const auto& aOther) {
@@ -235,7 +239,7 @@
                 aEvidence.mTolerated,
                 aEvidence.mLogEvidence,
                 aEvidence.mThreshold);
-  return std::string(boost::describe::enum_to_string(aEvidence.mTrait, "")) +
+  return std::string(boost::describe::enum_to_string(aEvidence.mMetric, "")) +
          " route=" + aEvidence.mRoute +
          " new=" + std::to_string(aEvidence.mNew.mBad) + "/" +
          std::to_string(aEvidence.mNew.mAnswers) +
--- a/src/runtime/ControlDecider.cpp
+++ b/src/runtime/ControlDecider.cpp
@@ -224,7 +224,7 @@
 }
 
 void
-ControlDecider::Take(HttpInput& aInput, GoodbyeCall& aCall)
+ControlDecider::Take(HttpInput& aInput, DeregisterCall& aCall)
 {
   if (RefuseAnnouncement(aInput)) {
     return;
--- a/src/runtime/ControlDecider.h
+++ b/src/runtime/ControlDecider.h
@@ -54,7 +54,7 @@
                      const control::OperatorRequest& aRequest);
   void LogOrder(const control::OperatorAnswer& aAnswer);
   void Take(HttpInput& aInput, AnnounceCall& aCall);
-  void Take(HttpInput& aInput, GoodbyeCall& aCall);
+  void Take(HttpInput& aInput, DeregisterCall& aCall);
   bool RefuseAnnouncement(HttpInput& aInput);
   void Take(HttpInput& aInput, DirectoryCall& aCall);
   void Take(HttpInput& aInput, AnsweredCall& aCall);
--- a/src/runtime/ControlHostOptions.cpp
+++ b/src/runtime/ControlHostOptions.cpp
@@ -110,9 +110,9 @@
 fleet::PoolOptions
 MakePool(const settings::DutySettings& aDuties)
 {
-  return { .mLeast = static_cast<std::uint32_t>(aDuties.mPoolLeast),
-           .mRunningEach = aDuties.mPoolRunningEach,
-           .mLastingPart = aDuties.mPoolLastingPart };
+  return { .mMinUpstreams = static_cast<std::uint32_t>(aDuties.mPoolLeast),
+           .mTargetConcurrency = aDuties.mPoolRunningEach,
+           .mOnDemandShare = aDuties.mPoolLastingPart };
 }
 
 DutyHostOptions
@@ -122,14 +122,14 @@
   return { .mHolder = aSettings.mName.Value(),
            .mCloud = aSettings.mDuties.mCloud,
            .mDuties = { .mUsageWindow = aSettings.mDuties.mUsageWindow,
-                        .mUsageLate = aSettings.mDuties.mUsageLate,
+                        .mUsageDueAfter = aSettings.mDuties.mUsageLate,
                         .mLease = aSettings.mDuties.mLease,
                         .mPool = MakePool(aSettings.mDuties) },
            .mQuota = { .mWindow = shared.mQuotaWindow,
                        .mOvershoot = shared.mQuotaOvershoot,
                        .mSlack = shared.mQuotaSlack },
-           .mRollout = { .mExposeShare = shared.mRolloutShare,
-                         .mExposeSlack = shared.mRolloutSlack } };
+           .mRollout = { .mMaxExposureShare = shared.mRolloutShare,
+                         .mExposureSlack = shared.mRolloutSlack } };
 }
 
 } // namespace
--- a/src/runtime/DutyRollouts.cpp
+++ b/src/runtime/DutyRollouts.cpp
@@ -51,7 +51,7 @@
 std::int64_t
 DutyRunner::WallMicros(TimePoint aNow) const
 {
-  return mDesk.CommonMicros(aNow).value_or(ReadWallMicros());
+  return mTasks.CommonMicros(aNow).value_or(ReadWallMicros());
 }
 
 void
@@ -60,7 +60,7 @@
                        const control::ControlNode& aNode,
                        TimePoint aNow)
 {
-  mRollouts.Take(aReport, aNode.CurrentTerm().Value(), aNow);
+  mRollouts.HandleReport(aReport, aNode.CurrentTerm().Value(), aNow);
   Heard& heard = mHeard[aFrom];
   heard.mLife = aReport.mLife;
   TellRollouts(aFrom, heard, aNode);
@@ -150,7 +150,7 @@
     }
   }
   for (auto& [service, pool] : pools) {
-    pool.mRunning = mDesk.Running(service, aNow);
+    pool.mRunning = mTasks.Running(service, aNow);
   }
   return pools;
 }
--- a/src/runtime/DutyRunner.cpp
+++ b/src/runtime/DutyRunner.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint64_t kOwnClock = 0;
 
 std::string
-TextOf(const fleet::DutyCall& aCall)
+TextOf(const fleet::CloudCall& aCall)
 {
   return std::visit(
     Overloaded{ [](const gateway::UsageWindow& aWindow) {
@@ -51,7 +51,7 @@
   , mLogger(aLogger)
   , mPropose(std::move(aPropose))
   , mTell(std::move(aTell))
-  , mDesk(aOptions.mDuties)
+  , mTasks(aOptions.mDuties)
   , mBank(aOptions.mQuota, 0, 0, {}, TimePoint())
   , mRollouts(aOptions.mRollout)
 {
@@ -78,7 +78,7 @@
                  TimePoint aNow)
 {
   if (const auto* report = std::get_if<gateway::UsageReport>(&aMessage)) {
-    mDesk.TakeReport(*report, aNow);
+    mTasks.RecordReport(*report, aNow);
   }
   if (!aNode.Leads(aNow)) {
     return;
@@ -146,7 +146,7 @@
                        const control::ControlNode& aNode,
                        TimePoint aNow)
 {
-  if (const auto micros = mDesk.CommonMicros(aNow)) {
+  if (const auto micros = mTasks.CommonMicros(aNow)) {
     mTell(aFrom, gateway::CommonTime{ *micros });
   }
   for (const ContentId& content : aReport.mCameAgain) {
@@ -334,7 +334,7 @@
   const bool leads = aNode.Leads(aNow);
   if (leads) {
     UseSettings(aNode, aNow);
-    mDesk.TakeWall(kOwnClock, ReadWallMicros(), aNow);
+    mTasks.RecordWallClock(kOwnClock, ReadWallMicros(), aNow);
     mDirectory.Forget(aNow);
     ForgetSilent(aNow);
     KeepLimits(aNode, aNow);
@@ -348,23 +348,24 @@
   }
   const auto pools = Pools(aNode.State().mRollouts, aNow);
   const auto effects =
-    mDesk.Tick(fleet::DutyView{ .mLeads = leads,
-                                .mTerm = aNode.CurrentTerm().Value(),
-                                .mCommitted = &aNode.State().mUsage,
-                                .mTable = mTable ? &*mTable : nullptr,
-                                .mPools = &pools },
-               aNow);
-  for (const fleet::DutyEffect& effect : effects) {
-    std::visit(Overloaded{ [&](const fleet::CommitUsage& aOne) {
-                            mPropose(control::UsageRequest{ aOne.mWindow });
-                          },
-                           [&](const fleet::CallCloud& aOne) { Call(aOne); } },
-               effect);
+    mTasks.Tick(fleet::LeaderTaskView{ .mLeads = leads,
+                                       .mTerm = aNode.CurrentTerm().Value(),
+                                       .mCommitted = &aNode.State().mUsage,
+                                       .mTable = mTable ? &*mTable : nullptr,
+                                       .mPools = &pools },
+                aNow);
+  for (const fleet::LeaderTaskEffect& effect : effects) {
+    std::visit(
+      Overloaded{ [&](const fleet::CommitUsage& aOne) {
+                   mPropose(control::UsageRequest{ aOne.mWindow });
+                 },
+                  [&](const fleet::SendCloudCall& aOne) { Call(aOne); } },
+      effect);
   }
 }
 
 void
-DutyRunner::Call(const fleet::CallCloud& aCall)
+DutyRunner::Call(const fleet::SendCloudCall& aCall)
 {
   mCalls[aCall.mNumber] = TextOf(aCall.mCall);
   mLogger.Log(observe::EventId::kDutyCalled,
@@ -386,7 +387,7 @@
                 { "what", mCalls[aInput.mNumber] },
                 { "status", aInput.mStatus } });
   mCalls.erase(aInput.mNumber);
-  mDesk.TakeResult(aInput.mNumber, aInput.mStatus, aNow);
+  mTasks.HandleResult(aInput.mNumber, aInput.mStatus, aNow);
 }
 
 } // namespace peridotspool::runtime
--- a/src/runtime/DutyRunner.h
+++ b/src/runtime/DutyRunner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/control/ControlNode.h"
-#include "peridotspool/fleet/DutyDesk.h"
+#include "peridotspool/fleet/LeaderTaskManager.h"
 #include "peridotspool/gateway/QuotaBank.h"
 #include "peridotspool/http/HttpClient.h"
 #include "peridotspool/membership/UpstreamDirectory.h"
@@ -107,14 +107,14 @@
   std::map<ServiceName, fleet::PoolView> Pools(
     const rollout::RolloutTable& aRollouts,
     TimePoint aNow) const;
-  void Call(const fleet::CallCloud& aCall);
+  void Call(const fleet::SendCloudCall& aCall);
 
   DutyHostOptions mOptions;
   const ControlDialect& mDialect;
   observe::Logger& mLogger;
   Propose mPropose;
   Tell mTell;
-  fleet::DutyDesk mDesk;
+  fleet::LeaderTaskManager mTasks;
   gateway::QuotaBank mBank;
   routing::QuarantineBank mQuarantine;
   rollout::RolloutController mRollouts;
--- a/src/runtime/OperatorClient.cpp
+++ b/src/runtime/OperatorClient.cpp
@@ -191,7 +191,8 @@
   if (mOptions.mControls.empty()) {
     return std::nullopt;
   }
-  const auto giveUpAt = std::chrono::steady_clock::now() + mOptions.mPatience;
+  const auto giveUpAt =
+    std::chrono::steady_clock::now() + mOptions.mRetryTimeout;
   std::size_t next = 0;
   std::optional<Address> leader;
   do {
--- a/test/fleet/FleetPlannerTest.cpp
+++ b/test/fleet/FleetPlannerTest.cpp
@@ -31,8 +31,8 @@
   ServiceDemand demand;
   demand.mService = ServiceName("assistant");
   demand.mClass = MachineClass("two");
-  demand.mLeast = aWanted;
-  demand.mMost = aWanted + 4;
+  demand.mMinInstances = aWanted;
+  demand.mMaxInstances = aWanted + 4;
   return demand;
 }
 
@@ -56,7 +56,7 @@
   {
     for (const FleetEffect& effect : mPlanner.Step(aEvent, mNow)) {
       if (const auto* start = std::get_if<StartEffect>(&effect)) {
-        ++mAsked;
+        ++mStartsRequested;
         mPending.push_back(*start);
       } else if (const auto* drain =
                    std::get_if<DrainInstanceEffect>(&effect)) {
@@ -74,7 +74,7 @@
     for (int second = 0; second < aSeconds; ++second) {
       mNow += std::chrono::seconds(1);
       Step(FleetTickEvent{});
-      mMostPending = std::max(mMostPending, mPending.size());
+      mMaxPending = std::max(mMaxPending, mPending.size());
       for (const StartEffect& start : std::exchange(mPending, {})) {
         AnswerStart(start);
       }
@@ -87,7 +87,7 @@
       Step(StartRefusedEvent{ aStart.mStart });
       return;
     }
-    const InstanceName name("i-" + std::to_string(++mNamed));
+    const InstanceName name("i-" + std::to_string(++mNamesIssued));
     mLive[name] = aStart.mOffer;
     Step(StartedEvent{ aStart.mStart, name });
     Step(ServingEvent{ name });
@@ -121,9 +121,9 @@
   std::set<OfferKey> mRefused;
   std::vector<InstanceName> mDrained;
   std::vector<InstanceName> mStopped;
-  int mAsked = 0;
-  int mNamed = 0;
-  std::size_t mMostPending = 0;
+  int mStartsRequested = 0;
+  int mNamesIssued = 0;
+  std::size_t mMaxPending = 0;
 };
 
 } // namespace
@@ -137,7 +137,7 @@
   for (const char* domain : kDomains) {
     CHECK(cloud.LiveIn(domain) == 5);
   }
-  CHECK(cloud.mMostPending <= FleetOptions{}.mMaxStarting);
+  CHECK(cloud.mMaxPending <= FleetOptions{}.mMaxStarting);
 }
 
 TEST_CASE("PreferenceAndWeightsDecideWhereToBuy")
@@ -184,11 +184,11 @@
   }
   cloud.ReclaimDomain("marousi");
   REQUIRE(cloud.mLive.size() == 15);
-  cloud.mAsked = 0;
+  cloud.mStartsRequested = 0;
   cloud.Run(300);
   // Five missing in 300 rounds would be 1,500 if asked for in every one.
-  INFO("starts asked for: " << cloud.mAsked);
-  CHECK(cloud.mAsked <= 80);
+  INFO("starts asked for: " << cloud.mStartsRequested);
+  CHECK(cloud.mStartsRequested <= 80);
   cloud.mRefused.clear();
   cloud.Run(300);
   CHECK(cloud.mLive.size() == 20);
@@ -225,7 +225,7 @@
   options.mActAfter = TimePoint(std::chrono::seconds(1010));
   TestCloud cloud(Demand(4), options);
   cloud.Run(30);
-  CHECK(cloud.mAsked == 0);
+  CHECK(cloud.mStartsRequested == 0);
   std::vector<InstanceInfo> listed;
   for (int number = 0; number < 4; ++number) {
     listed.push_back(
@@ -237,14 +237,14 @@
   }
   cloud.Step(ListedEvent{ listed });
   cloud.Run(30);
-  CHECK(cloud.mAsked == 0);
+  CHECK(cloud.mStartsRequested == 0);
   // A list that is older than a start's answer forgets nothing.
   cloud.Step(ReclaimNoticeEvent{ InstanceName("old-0") });
   cloud.Run(1);
-  REQUIRE(cloud.mAsked == 1);
+  REQUIRE(cloud.mStartsRequested == 1);
   cloud.Step(ListedEvent{ listed });
   cloud.Run(5);
-  CHECK(cloud.mAsked == 1);
+  CHECK(cloud.mStartsRequested == 1);
 }
 
 TEST_CASE("SurplusIsDrainedOneByOneAndStoppedOnlyWhenEmpty")
@@ -318,7 +318,7 @@
           break;
       }
       cloud.Run(*rc::gen::inRange(1, 20));
-      RC_ASSERT(cloud.mMostPending <= 3U);
+      RC_ASSERT(cloud.mMaxPending <= 3U);
       RC_ASSERT(cloud.mLive.size() <= 6U);
     }
     cloud.mRefused.clear();
--- a/test/fleet/DutyDeskTest.cpp
+++ b/test/fleet/LeaderTaskManagerTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: promise-fencing
-#include "peridotspool/fleet/DutyDesk.h"
+#include "peridotspool/fleet/LeaderTaskManager.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -33,11 +33,11 @@
 /** One replica's desk, with the log that all replicas share. */
 struct Replica
 {
-  DutyDesk mDesk{ DutyOptions{} };
+  LeaderTaskManager mManager{ LeaderTaskOptions{} };
   std::vector<gateway::UsageWindow>& mLog;
   bool mLeads = false;
   std::uint64_t mTerm = 0;
-  std::vector<CallCloud> mCalls;
+  std::vector<SendCloudCall> mCalls;
 
   explicit Replica(std::vector<gateway::UsageWindow>& aLog)
     : mLog(aLog)
@@ -46,14 +46,14 @@
 
   void Tick(int aMs)
   {
-    const DutyView view{ .mLeads = mLeads,
-                         .mTerm = mTerm,
-                         .mCommitted = &mLog };
-    for (const DutyEffect& effect : mDesk.Tick(view, At(aMs))) {
+    const LeaderTaskView view{ .mLeads = mLeads,
+                               .mTerm = mTerm,
+                               .mCommitted = &mLog };
+    for (const LeaderTaskEffect& effect : mManager.Tick(view, At(aMs))) {
       if (const auto* commit = std::get_if<CommitUsage>(&effect)) {
         mLog.push_back(commit->mWindow);
       } else {
-        mCalls.push_back(std::get<CallCloud>(effect));
+        mCalls.push_back(std::get<SendCloudCall>(effect));
       }
     }
   }
@@ -72,9 +72,9 @@
   Replica second(log);
   first.mLeads = true;
   first.mTerm = 1;
-  first.mDesk.TakeReport(Report(1, 1, 10, 100), At(100));
+  first.mManager.RecordReport(Report(1, 1, 10, 100), At(100));
   for (int ms = 0; ms < 12000; ms += 100) {
-    first.mDesk.TakeReport(Report(1, 1, 10, ms), At(ms));
+    first.mManager.RecordReport(Report(1, 1, 10, ms), At(ms));
     first.Tick(ms);
   }
   REQUIRE(first.mCalls.size() >= 1);
@@ -82,7 +82,7 @@
   second.mLeads = true;
   second.mTerm = 2;
   for (int ms = 12000; ms < 15000; ms += 100) {
-    second.mDesk.TakeReport(Report(1, 1, 11, ms), At(ms));
+    second.mManager.RecordReport(Report(1, 1, 11, ms), At(ms));
     second.Tick(ms);
   }
   REQUIRE(second.mCalls.size() >= 1);
@@ -99,12 +99,12 @@
   std::vector<gateway::UsageWindow> log;
   Replica next(log);
   // Heard while another replica led.
-  next.mDesk.TakeReport(Report(1, 1, 10, 6000), At(6000));
-  next.mDesk.TakeReport(Report(2, 1, 5, 6000), At(6000));
+  next.mManager.RecordReport(Report(1, 1, 10, 6000), At(6000));
+  next.mManager.RecordReport(Report(2, 1, 5, 6000), At(6000));
   next.mLeads = true;
   next.mTerm = 2;
   for (int ms = 7000; ms < 16000; ms += 100) {
-    next.mDesk.TakeReport(Report(2, 1, 7, ms), At(ms));
+    next.mManager.RecordReport(Report(2, 1, 7, ms), At(ms));
     next.Tick(ms);
   }
   REQUIRE(log.size() == 1);
@@ -135,7 +135,7 @@
       }
       const auto window = static_cast<std::uint64_t>(ms / 5000);
       Replica& one = replicas[*leader];
-      one.mDesk.TakeReport(Report(1, window, 1, ms), At(ms));
+      one.mManager.RecordReport(Report(1, window, 1, ms), At(ms));
       const std::size_t before = one.mCalls.size();
       one.Tick(ms);
       if (one.mCalls.size() > before) {
@@ -164,12 +164,12 @@
   one.mTerm = 4;
   int ms = 0;
   for (; ms < 14000; ms += 100) {
-    one.mDesk.TakeReport(Report(1, 1, 3, ms), At(ms));
+    one.mManager.RecordReport(Report(1, 1, 3, ms), At(ms));
     one.Tick(ms);
   }
   const std::size_t tries = one.mCalls.size();
   REQUIRE(tries >= 2);
-  one.mDesk.TakeResult(one.mCalls.back().mNumber, 200, At(ms));
+  one.mManager.HandleResult(one.mCalls.back().mNumber, 200, At(ms));
   for (; ms < 19000; ms += 100) {
     one.Tick(ms);
   }
--- a/test/fleet/OrderDeskTest.cpp
+++ b/test/fleet/OrderDispatcherTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: promise-fencing
-#include "peridotspool/fleet/OrderDesk.h"
+#include "peridotspool/fleet/OrderDispatcher.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,12 +13,12 @@
 class TestEngines
 {
 public:
-  explicit TestEngines(OrderDeskOptions aOptions = {})
-    : mDesk(WithStart(aOptions))
+  explicit TestEngines(OrderDispatcherOptions aOptions = {})
+    : mDispatcher(WithLeaderSince(aOptions))
   {
   }
 
-  static OrderDeskOptions WithStart(OrderDeskOptions aOptions)
+  static OrderDispatcherOptions WithLeaderSince(OrderDispatcherOptions aOptions)
   {
     aOptions.mLeaderSince = kStart;
     return aOptions;
@@ -26,31 +26,32 @@
 
   void Add(const std::string& aName, bool aChecks, const std::string& aWanted)
   {
-    Step(EngineSeenEvent{ UpstreamName(aName), Incarnation(1), aChecks });
-    Step(SetupWantedEvent{ .mEngine = UpstreamName(aName),
-                           .mSetup = { .mModel = aWanted },
-                           .mModelBytes = 10ULL << 30,
-                           .mUrgency = 0.0 });
+    Step(EngineAnnouncedEvent{ UpstreamName(aName), Incarnation(1), aChecks });
+    Step(DesiredSetupEvent{ .mEngine = UpstreamName(aName),
+                            .mSetup = { .mModel = aWanted },
+                            .mModelBytes = 10ULL << 30,
+                            .mUrgency = 0.0 });
   }
 
   void Step(const OrderEvent& aEvent)
   {
-    for (const OrderEffect& effect : mDesk.Step(aEvent, mNow)) {
-      Carry(effect);
+    for (const OrderEffect& effect : mDispatcher.Step(aEvent, mNow)) {
+      Apply(effect);
     }
   }
 
-  void Carry(const OrderEffect& aEffect)
+  void Apply(const OrderEffect& aEffect)
   {
     if (const auto* read = std::get_if<ReadSetupEffect>(&aEffect)) {
       Step(
         SetupReadEvent{ read->mRead, read->mEngine, mSetups[read->mEngine] });
-    } else if (const auto* take = std::get_if<TakeFencingEffect>(&aEffect)) {
+    } else if (const auto* take =
+                 std::get_if<RequestFencingNumberEffect>(&aEffect)) {
       mNumber = mNumber.Next();
-      Step(FencingGivenEvent{ take->mOrder, mNumber });
+      Step(FencingNumberIssuedEvent{ take->mOrder, mNumber });
     } else if (const auto* send = std::get_if<SendOrderEffect>(&aEffect)) {
       mSent.push_back(*send);
-      if (mObey) {
+      if (mApplyOrders) {
         mSetups[send->mEngine] = send->mSetup;
         Step(OrderEndedEvent{ send->mOrder, mOutcome });
       }
@@ -66,13 +67,13 @@
     }
   }
 
-  OrderDesk mDesk;
+  OrderDispatcher mDispatcher;
   TimePoint mNow = kStart;
   FencingNumber mNumber;
   std::map<UpstreamName, EngineSetup> mSetups;
   std::vector<SendOrderEffect> mSent;
   OrderOutcome mOutcome = OrderOutcome::kDone;
-  bool mObey = true;
+  bool mApplyOrders = true;
 };
 
 } // namespace
@@ -100,9 +101,9 @@
 {
   const bool checks = GENERATE(true, false);
   TestEngines engines;
-  OrderDeskOptions options;
+  OrderDispatcherOptions options;
   const TimePoint oldOrderEnds =
-    kStart + options.mLease + options.mSendWithin + options.mLongestOrder;
+    kStart + options.mLease + options.mMaxSendDelay + options.mMaxOrderDuration;
   engines.Add("engine-1", checks, "new");
   bool oldEnded = false;
   while (engines.mNow < oldOrderEnds + std::chrono::seconds(60)) {
@@ -134,7 +135,7 @@
   engines.Add("engine-1", true, "large");
   engines.Add("engine-2", true, "large");
   engines.Run(std::chrono::seconds(60));
-  CHECK(engines.mDesk.IsStale());
+  CHECK(engines.mDispatcher.IsStale());
   CHECK(engines.mSent.size() == 1);
 }
 
@@ -144,14 +145,14 @@
 TEST_CASE("LoadsAreAskedForAtTheWeightStoresRate")
 {
   TestEngines engines;
-  engines.mObey = false;
+  engines.mApplyOrders = false;
   for (int number = 10; number < 30; ++number) {
     engines.Add("engine-" + std::to_string(number), true, "large");
   }
-  engines.Step(SetupWantedEvent{ .mEngine = UpstreamName("engine-29"),
-                                 .mSetup = { .mModel = "large" },
-                                 .mModelBytes = 10ULL << 30,
-                                 .mUrgency = 1.0 });
+  engines.Step(DesiredSetupEvent{ .mEngine = UpstreamName("engine-29"),
+                                  .mSetup = { .mModel = "large" },
+                                  .mModelBytes = 10ULL << 30,
+                                  .mUrgency = 1.0 });
   engines.Run(std::chrono::seconds(50));
   // One load takes the store 5 s; one more may wait at the store.
   CHECK(engines.mSent.size() >= 10);
@@ -162,7 +163,7 @@
 TEST_CASE("FailedOrderIsReadBackAndTriedAgainWithBackoff")
 {
   TestEngines engines;
-  engines.mObey = false;
+  engines.mApplyOrders = false;
   engines.Add("engine-1", true, "large");
   engines.Run(std::chrono::seconds(1));
   REQUIRE(engines.mSent.size() == 1);
@@ -186,7 +187,7 @@
   REQUIRE(engines.mSent.size() == 1);
   engines.mSetups[UpstreamName("engine-1")] = {};
   engines.Step(
-    EngineSeenEvent{ UpstreamName("engine-1"), Incarnation(2), true });
+    EngineAnnouncedEvent{ UpstreamName("engine-1"), Incarnation(2), true });
   engines.Step(SetupReadEvent{
     ReadNumber(1), UpstreamName("engine-1"), { .mModel = "large" } });
   engines.Run(std::chrono::seconds(10));
--- a/test/fleet/PoolPlannerTest.cpp
+++ b/test/fleet/PoolPlannerTest.cpp
@@ -44,25 +44,25 @@
   {
     for (const PoolOrder& order :
          aPlanner.Plan(MakeService(), mView, At(aMs))) {
-      const bool refused = mDry && order.mReclaimable &&
+      const bool refused = mShortage && order.mReclaimable &&
                            order.mDesired > mView.mReady[KeyOf(order)];
-      aPlanner.TakeResult(order, !refused, refused, At(aMs));
+      aPlanner.HandleResult(order, !refused, refused, At(aMs));
       ++mOrders;
       if (!refused) {
-        mTaken[KeyOf(order)] = order.mDesired;
+        mAccepted[KeyOf(order)] = order.mDesired;
       }
     }
   }
   void CarryOut()
   {
-    for (const auto& [key, count] : mTaken) {
+    for (const auto& [key, count] : mAccepted) {
       mView.mReady[key] = count;
     }
   }
 
   PoolView mView;
-  std::map<PoolKey, std::uint32_t> mTaken;
-  bool mDry = false;
+  std::map<PoolKey, std::uint32_t> mAccepted;
+  bool mShortage = false;
   int mOrders = 0;
 
 private:
@@ -76,57 +76,58 @@
 
 TEST_CASE("ReclaimableUpstreamsTakeThePlaceOfLastingOnesWhichStayUntilThen")
 {
-  PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 4 }, { Key("b", false), 4 } };
   cloud.Run(planner, 0);
   // As many as there were remain when either domain is taken.
-  CHECK(cloud.mTaken[Key("a", true)] == 8);
-  CHECK(cloud.mTaken[Key("b", true)] == 8);
-  const auto lasting =
+  CHECK(cloud.mAccepted[Key("a", true)] == 8);
+  CHECK(cloud.mAccepted[Key("b", true)] == 8);
+  const auto onDemand =
     cloud.mView.mReady[Key("a", false)] + cloud.mView.mReady[Key("b", false)];
-  CHECK(lasting == 8);
+  CHECK(onDemand == 8);
   cloud.mView.mReady[Key("a", true)] = 8;
   cloud.mView.mReady[Key("b", true)] = 8;
   cloud.Run(planner, 5000);
-  CHECK(cloud.mTaken[Key("a", false)] == 0);
-  CHECK(cloud.mTaken[Key("b", false)] == 0);
+  CHECK(cloud.mAccepted[Key("a", false)] == 0);
+  CHECK(cloud.mAccepted[Key("b", false)] == 0);
 }
 
-// Symptom: a tenth of the seconds paid for were those of twelve lasting
+// Symptom: a tenth of the seconds paid for were those of twelve onDemand
 // upstreams that nobody used.
-// Sequence: they are found running; reclaimable ones are ready in their place
-// before the first request.
-// Cause: they were kept for a while, as among the waves of a day.
+// Sequence: they are discovered running; reclaimable ones are ready in their
+// place before the first request. Cause: they were kept for a while, as among
+// the waves of a day.
 TEST_CASE("BeforeAnyLoadLastingOnesGoAsSoonAsReclaimableOnesAreReady")
 {
-  PoolPlanner planner({ .mLeast = 8,
-                        .mListenFor = Duration(0),
-                        .mLastingFor = std::chrono::seconds(3) });
+  PoolPlanner planner({ .mMinUpstreams = 8,
+                        .mObservationPeriod = Duration(0),
+                        .mMinOnDemandTime = std::chrono::seconds(3) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 4 }, { Key("b", false), 4 } };
-  const auto lasting = [&] {
+  const auto onDemand = [&] {
     return cloud.mView.mReady[Key("a", false)] +
            cloud.mView.mReady[Key("b", false)];
   };
   cloud.Run(planner, 0);
   cloud.Run(planner, 3900);
-  CHECK(cloud.mTaken.find(Key("b", false)) == cloud.mTaken.end());
+  CHECK(cloud.mAccepted.find(Key("b", false)) == cloud.mAccepted.end());
   cloud.CarryOut();
   cloud.Run(planner, 4000);
   cloud.CarryOut();
-  CHECK(lasting() == 0);
+  CHECK(onDemand() == 0);
   // Once there is load they stay for a while.
   cloud.mView.mRunning = 10.0;
   cloud.mView.mReady[Key("a", true)] = 0;
   cloud.mView.mReady[Key("b", true)] = 0;
   cloud.Run(planner, 10000);
   cloud.CarryOut();
-  CHECK(lasting() == 8);
+  CHECK(onDemand() == 8);
   cloud.mView.mReady[Key("a", true)] = 8;
   cloud.Run(planner, 12000);
   cloud.CarryOut();
-  CHECK(lasting() == 8);
+  CHECK(onDemand() == 8);
 }
 
 // Symptom: nearly all requests failed for twenty seconds.
@@ -135,40 +136,44 @@
 // Cause: only reclaimable ones were ordered, again and again.
 TEST_CASE("LastingUpstreamsAreOrderedWhenReclaimableOnesAreRefused")
 {
-  PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 4 }, { Key("b", true), 4 } };
   cloud.Run(planner, 0);
-  cloud.mDry = true;
+  cloud.mShortage = true;
   cloud.mView.mReady = { { Key("a", true), 1 } };
   cloud.Run(planner, 1000);
   cloud.Run(planner, 1100);
-  const auto lasting =
-    cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)];
-  CHECK(lasting == 3);
+  const auto onDemand =
+    cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)];
+  CHECK(onDemand == 3);
   // They stay while reclaimable ones are away, and go once those are back.
   cloud.CarryOut();
   cloud.mView.mReady[Key("a", true)] = 1;
   cloud.mView.mReady.erase(Key("b", true));
   cloud.Run(planner, 9000);
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] == 3);
-  cloud.mDry = false;
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] ==
+        3);
+  cloud.mShortage = false;
   for (int ms = 10000; ms < 30000; ms += 1000) {
     cloud.Run(planner, ms);
     cloud.CarryOut();
   }
   CHECK(cloud.mView.mReady[Key("a", true)] == 4);
   CHECK(cloud.mView.mReady[Key("b", true)] == 4);
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] == 0);
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] ==
+        0);
 }
 
 // Symptom: the first seconds of a large deployment's day failed.
-// Sequence: 140 lasting upstreams were there; before any request had come the
+// Sequence: 140 onDemand upstreams were there; before any request had come the
 // pool was cut to its least.
 // Cause: no load was taken for little load.
 TEST_CASE("ThePoolStaysAsLargeAsItWasFoundAndADomainMoreUntilLoadIsSeen")
 {
-  PoolPlanner planner({ .mLeast = 2, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 2, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 5 }, { Key("b", false), 6 } };
   cloud.Run(planner, 0);
@@ -176,7 +181,8 @@
   cloud.CarryOut();
   cloud.Run(planner, 5000);
   cloud.CarryOut();
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] == 0);
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] ==
+        0);
   cloud.Run(planner, 20000);
   CHECK(planner.Wanted() == 20);
   cloud.mView.mRunning = 3.0;
@@ -188,33 +194,35 @@
 
 // Symptom: the first six seconds of a large deployment's day lost a third of
 // their worth.
-// Sequence: ninety lasting upstreams run; the holder of the duty has heard of
+// Sequence: ninety onDemand upstreams run; the holder of the duty has heard of
 // some of them when it first plans, and of the others within a heartbeat.
 // Cause: it ordered as many as it knew, and so took the others away.
 TEST_CASE("UpstreamsThatAreHeardLateAreNotTakenAway")
 {
-  PoolPlanner planner({ .mLeast = 2 });
+  PoolPlanner planner({ .mMinUpstreams = 2 });
   Cloud cloud;
   for (std::uint32_t heard = 1; heard <= 10; ++heard) {
     cloud.mView.mReady = { { Key("a", false), heard },
                            { Key("b", false), heard / 2 } };
     cloud.Run(planner, static_cast<int>(heard) * 120);
   }
-  CHECK(cloud.mTaken.find(Key("a", false)) == cloud.mTaken.end());
-  CHECK(cloud.mTaken.find(Key("b", false)) == cloud.mTaken.end());
+  CHECK(cloud.mAccepted.find(Key("a", false)) == cloud.mAccepted.end());
+  CHECK(cloud.mAccepted.find(Key("b", false)) == cloud.mAccepted.end());
   CHECK(planner.Wanted() == 20);
   cloud.Run(planner, 2000);
-  CHECK(cloud.mTaken[Key("a", true)] + cloud.mTaken[Key("b", true)] == 20);
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] >= 3);
+  CHECK(cloud.mAccepted[Key("a", true)] + cloud.mAccepted[Key("b", true)] ==
+        20);
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] >=
+        3);
 }
 
 // Symptom: the first eight seconds of a heavy day earned 0.4 to 0.7.
-// Sequence: 140 lasting upstreams run; 95 of them are heard within 1.5 s, the
+// Sequence: 140 onDemand upstreams run; 95 of them are heard within 1.5 s, the
 // others when control replicas that joined late take their heartbeats.
 // Cause: what was heard after the first moments was never counted.
 TEST_CASE("TheReserveBeforeLoadCountsUpstreamsThatAreHeardSecondsLater")
 {
-  PoolPlanner planner({ .mLeast = 2 });
+  PoolPlanner planner({ .mMinUpstreams = 2 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 2 } };
   cloud.Run(planner, 0);
@@ -235,37 +243,37 @@
 
 TEST_CASE("TheReserveBeforeLoadCostsNoMoreThanWhatItStandsInFor")
 {
-  ServiceProfile dear = MakeService();
-  dear.mScaling->mReclaimablePrice = 0.8;
-  dear.mScaling->mPrices[FailureDomain("c")] = 1.0;
-  PoolPlanner planner({ .mLeast = 2 });
+  ServiceProfile expensive = MakeService();
+  expensive.mScaling->mReclaimablePrice = 0.8;
+  expensive.mScaling->mPrices[FailureDomain("c")] = 1.0;
+  PoolPlanner planner({ .mMinUpstreams = 2 });
   PoolView view;
   view.mReady = { { Key("a", false), 6 } };
-  planner.Plan(dear, view, At(0));
+  planner.Plan(expensive, view, At(0));
   // A domain's worth more than there were: 6 x 3 / 2.
   CHECK(planner.Wanted() == 9);
 }
 
 // Symptom: in the middle of a calm day windows earned 0.67 of 0.95, and a
-// hundred lasting upstreams were paid for. Sequence: a reserve of four times
+// hundred onDemand upstreams were paid for. Sequence: a reserve of four times
 // the load's need; a domain is reclaimed and nothing is to be had in its place;
 // eight seconds of load have been seen. Cause: the pool was cut to the load's
 // need at once, at that moment.
 TEST_CASE("ThePoolShrinksInStepsAndNotWhileOthersAreRefused")
 {
-  PoolPlanner planner({ .mLeast = 2, .mRunningEach = 1.0 });
+  PoolPlanner planner({ .mMinUpstreams = 2, .mTargetConcurrency = 1.0 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 10 }, { Key("b", true), 10 } };
   cloud.Run(planner, 0);
   REQUIRE(planner.Wanted() == 20);
   cloud.mView.mRunning = 2.0;
-  cloud.mDry = true;
+  cloud.mShortage = true;
   cloud.mView.mReady[Key("b", true)] = 0;
   for (int ms = 5000; ms < 17000; ms += 100) {
     cloud.Run(planner, ms);
     CHECK(planner.Wanted() == 20);
   }
-  cloud.mDry = false;
+  cloud.mShortage = false;
   cloud.mView.mReady[Key("b", true)] = 10;
   std::map<std::uint32_t, int> lasted;
   for (int ms = 17000; ms < 40000; ms += 100) {
@@ -287,19 +295,20 @@
 {
   ServiceProfile service = MakeService();
   service.mScaling->mPrices[FailureDomain("c")] = 1.0;
-  PoolPlanner planner({ .mLeast = 2, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 2, .mObservationPeriod = Duration(0) });
   PoolView view;
   view.mReady = { { Key("a", true), 10 },
                   { Key("b", true), 10 },
                   { Key("c", true), 10 } };
-  const auto plan = [&](int aMs, bool aDry) {
-    std::uint32_t lasting = 0;
+  const auto plan = [&](int aMs, bool aShortage) {
+    std::uint32_t onDemand = 0;
     for (const PoolOrder& order : planner.Plan(service, view, At(aMs))) {
-      const bool refused = aDry && order.mReclaimable;
-      planner.TakeResult(order, !refused, refused, At(aMs));
-      lasting += order.mReclaimable ? 0 : order.mDesired;
+      const bool refused = aShortage && order.mReclaimable;
+      planner.HandleResult(order, !refused, refused, At(aMs));
+      onDemand += order.mReclaimable ? 0 : order.mDesired;
     }
-    return lasting;
+    return onDemand;
   };
   CHECK(plan(0, false) == 0);
   REQUIRE(planner.Wanted() == 30);
@@ -315,10 +324,10 @@
 
 TEST_CASE("APoolThatCannotBeHadInFullIsNotKeptForEver")
 {
-  PoolPlanner planner({ .mLeast = 2, .mRunningEach = 1.0 });
+  PoolPlanner planner({ .mMinUpstreams = 2, .mTargetConcurrency = 1.0 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 10 } };
-  cloud.mDry = true;
+  cloud.mShortage = true;
   cloud.Run(planner, 0);
   cloud.mView.mRunning = 2.0;
   for (int ms = 5000; ms < 45000; ms += 100) {
@@ -329,7 +338,8 @@
 
 TEST_CASE("NothingIsOrderedWhenNothingIsToChange")
 {
-  PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 4 }, { Key("b", true), 4 } };
   for (int ms = 0; ms < 60000; ms += 100) {
@@ -340,7 +350,7 @@
 
 TEST_CASE("LoadRaisesThePoolAtOnceAndLowersItAfterAWhile")
 {
-  PoolPlanner planner({ .mLeast = 4, .mRunningEach = 5.0 });
+  PoolPlanner planner({ .mMinUpstreams = 4, .mTargetConcurrency = 5.0 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 2 }, { Key("b", true), 2 } };
   cloud.mView.mRunning = 41.0;
@@ -363,16 +373,17 @@
   constexpr int kGapMs = 1000;
   constexpr int kPlanEachMs = 100;
   for (int gapAt = 2000; gapAt < 4000; gapAt += kPlanEachMs) {
-    PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+    PoolPlanner planner(
+      { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
     Cloud cloud;
     cloud.mView.mReady = { { Key("a", true), 4 } };
     cloud.mView.mRunning = 20.0;
     for (int ms = 0; ms < gapAt + 2 * kGapMs; ms += kPlanEachMs) {
-      cloud.mDry = ms < gapAt || ms >= gapAt + kGapMs;
+      cloud.mShortage = ms < gapAt || ms >= gapAt + kGapMs;
       cloud.Run(planner, ms);
     }
     INFO("gap from " << gapAt << " to " << gapAt + kGapMs << " ms");
-    CHECK(cloud.mTaken[Key("b", true)] >= 4);
+    CHECK(cloud.mAccepted[Key("b", true)] >= 4);
   }
 }
 
--- a/test/gateway/UsageTest.cpp
+++ b/test/gateway/UsageTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: unit
-#include "peridotspool/fleet/UsageDesk.h"
+#include "peridotspool/fleet/UsageAggregator.h"
 #include "peridotspool/gateway/CommonClock.h"
 #include "peridotspool/gateway/UsageTally.h"
 
@@ -58,22 +58,22 @@
 
 TEST_CASE("UsageDeskAddsUpLivesAndTakesEachOnesNewestReport")
 {
-  fleet::UsageDesk desk(kWindow, std::chrono::seconds(6));
+  fleet::UsageAggregator aggregator(kWindow, std::chrono::seconds(6));
   const auto report = [](std::uint64_t aLife, std::uint64_t aCount) {
     return UsageReport{
       .mLife = aLife,
       .mWindows = { { .mNumber = 3, .mCounts = { { kCustomer, aCount } } } }
     };
   };
-  desk.Take(report(1, 5), Micros(17000));
-  desk.Take(report(1, 7), Micros(20400));
-  desk.Take(report(2, 10), Micros(20400));
-  CHECK_FALSE(desk.Due(0, Micros(20500)));
-  const auto due = desk.Due(0, Micros(21500));
+  aggregator.AddReport(report(1, 5), Micros(17000));
+  aggregator.AddReport(report(1, 7), Micros(20400));
+  aggregator.AddReport(report(2, 10), Micros(20400));
+  CHECK_FALSE(aggregator.Due(0, Micros(20500)));
+  const auto due = aggregator.Due(0, Micros(21500));
   REQUIRE(due);
   CHECK(due->mNumber == 3);
   CHECK(due->mCounts.at(kCustomer) == 17);
-  CHECK_FALSE(desk.Due(3, Micros(60000)));
+  CHECK_FALSE(aggregator.Due(3, Micros(60000)));
 }
 
 // Symptom: a window's usage lacked a quarter of its requests.
@@ -82,24 +82,24 @@
 // Cause: what had come by then was taken for all.
 TEST_CASE("AWindowWaitsForEntriesThatAreCutOffAsLongAsItCan")
 {
-  fleet::UsageDesk desk(kWindow, std::chrono::seconds(6));
+  fleet::UsageAggregator aggregator(kWindow, std::chrono::seconds(6));
   const auto report = [](std::uint64_t aLife, std::uint64_t aCount) {
     return UsageReport{
       .mLife = aLife,
       .mWindows = { { .mNumber = 3, .mCounts = { { kCustomer, aCount } } } }
     };
   };
-  desk.Take(report(1, 5), Micros(16000));
-  desk.Take(report(2, 5), Micros(20500));
-  CHECK_FALSE(desk.Due(0, Micros(22000)));
+  aggregator.AddReport(report(1, 5), Micros(16000));
+  aggregator.AddReport(report(2, 5), Micros(20500));
+  CHECK_FALSE(aggregator.Due(0, Micros(22000)));
   SECTION("it comes back")
   {
-    desk.Take(report(1, 9), Micros(24000));
-    CHECK(desk.Due(0, Micros(24100))->mCounts.at(kCustomer) == 14);
+    aggregator.AddReport(report(1, 9), Micros(24000));
+    CHECK(aggregator.Due(0, Micros(24100))->mCounts.at(kCustomer) == 14);
   }
   SECTION("it doesn't")
   {
-    CHECK(desk.Due(0, Micros(26000))->mCounts.at(kCustomer) == 10);
+    CHECK(aggregator.Due(0, Micros(26000))->mCounts.at(kCustomer) == 10);
   }
 }
 
--- a/test/platform/ControlCallsTest.cpp
+++ b/test/platform/ControlCallsTest.cpp
@@ -66,7 +66,7 @@
   CHECK(report.mIncarnation == Incarnation(1770000000123));
   CHECK(report.mReclaimable);
   const auto bye = Read("POST", "/instances/i-1/deregister");
-  CHECK(std::get<runtime::GoodbyeCall>(bye).mName == UpstreamName("i-1"));
+  CHECK(std::get<runtime::DeregisterCall>(bye).mName == UpstreamName("i-1"));
 }
 
 // Symptom: requests were sent to an address that belongs to nobody.
--- a/test/rollout/AllowanceAccountTest.cpp
+++ b/test/rollout/AllowanceAccountTest.cpp
@@ -41,13 +41,13 @@
 /** Takes any message of a queue, loses it, or leaves it for later. */
 template<typename T>
 bool
-TakeAny(std::deque<T>& aQueue, std::mt19937& aRandom, T& aTaken)
+ReceiveAny(std::deque<T>& aQueue, std::mt19937& aRandom, T& aReceived)
 {
   if (aQueue.empty()) {
     return false;
   }
   const std::size_t place = aRandom() % aQueue.size();
-  aTaken = aQueue[place];
+  aReceived = aQueue[place];
   aQueue.erase(aQueue.begin() + static_cast<std::ptrdiff_t>(place));
   return aRandom() % 8 != 0;
 }
@@ -61,10 +61,11 @@
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
     std::map<std::uint64_t, Holder> entries;
-    for (std::uint64_t life = 1; life <= 1 + seed % 12; ++life) {
-      entries[life] = {};
+    for (std::uint64_t incarnation = 1; incarnation <= 1 + seed % 12;
+         ++incarnation) {
+      entries[incarnation] = {};
     }
-    std::uint64_t lastLife = entries.size();
+    std::uint64_t lastIncarnation = entries.size();
     std::uint64_t reserved = 10;
     std::uint64_t used = 0;
     std::uint64_t term = 1;
@@ -100,10 +101,10 @@
           break;
         case 5: {
           Report report;
-          if (TakeAny(reports, random, report)) {
-            account.Take(report.mLife,
-                         report.mProgress,
-                         report.mTerm == term ? report.mSequence : 0);
+          if (ReceiveAny(reports, random, report)) {
+            account.RecordProgress(report.mLife,
+                                   report.mProgress,
+                                   report.mTerm == term ? report.mSequence : 0);
             ++sequence;
             updates.push_back({ .mLife = report.mLife,
                                 .mTerm = term,
@@ -115,7 +116,7 @@
         }
         case 6: {
           Update update;
-          if (TakeAny(updates, random, update) &&
+          if (ReceiveAny(updates, random, update) &&
               entries.contains(update.mLife)) {
             Holder& to = entries[update.mLife];
             if (std::pair(update.mTerm, update.mSequence) >
@@ -140,7 +141,7 @@
             account = AllowanceAccount(reserved);
           } else if (random() % 10 == 0) {
             entries.erase(entry);
-            entries[++lastLife] = {};
+            entries[++lastIncarnation] = {};
           }
           break;
       }
@@ -154,11 +155,11 @@
 TEST_CASE("WhatAnEntryCanNoLongerUseIsGivenToAnother")
 {
   AllowanceAccount account(0);
-  account.Take(1, {}, 0);
+  account.RecordProgress(1, {}, 0);
   CHECK(account.Allow(1, 2, 2, 1) == 2);
   CHECK(account.Allow(2, 2, 2, 1) == 0);
   // Its lease has run out, and it has taken the last update.
-  account.Take(1, { .mUsed = 1, .mAllowed = 1 }, 1);
+  account.RecordProgress(1, { .mUsed = 1, .mAllowed = 1 }, 1);
   CHECK(account.Allow(2, 2, 2, 2) == 1);
 }
 
--- a/test/rollout/MildFaultsTest.cpp
+++ b/test/rollout/MildFaultsTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: promise-rollout
-#include "rollout/RolloutPlay.h"
+#include "rollout/RolloutSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,9 +8,9 @@
 namespace {
 
 void
-CheckBounds(const RolloutPlayOptions& aOptions)
+CheckBounds(const RolloutSimulationOptions& aOptions)
 {
-  const RolloutPlayOutcome outcome = PlayRollout(aOptions);
+  const RolloutSimulationOutcome outcome = SimulateRollout(aOptions);
   INFO("seed " << aOptions.mSeed << ", " << aOptions.mEntries
                << " entries, fails " << aOptions.mFault.mFails << " slows "
                << aOptions.mFault.mSlows << ": " << outcome.mReason << ", new "
@@ -35,7 +35,7 @@
                     .mUpstreamsEach = 60,
                     .mRequestsPerSecond = 240,
                     .mFault = fault,
-                    .mGreyPart = seed % 2 == 0 ? 0.15 : 0.0 });
+                    .mGrayFailureShare = seed % 2 == 0 ? 0.15 : 0.0 });
     }
   }
 }
@@ -49,7 +49,7 @@
                   .mUpstreamsEach = 18,
                   .mRequestsPerSecond = 70,
                   .mFault = { .mFails = 0.3, .mFromMs = 5000 },
-                  .mGreyPart = seed % 2 == 0 ? 0.15 : 0.0 });
+                  .mGrayFailureShare = seed % 2 == 0 ? 0.15 : 0.0 });
   }
 }
 
--- a/test/rollout/RolloutGateTest.cpp
+++ b/test/rollout/RolloutGateTest.cpp
@@ -57,7 +57,7 @@
 TEST_CASE("AVersionThatWasNotOrderedGetsNothing")
 {
   RolloutGate gate;
-  gate.Take(Update(1, {}), At(0));
+  gate.ApplyUpdate(Update(1, {}), At(0));
   CHECK(gate.ChooseFirst(kService, "r", 1, { { kOld, 2 } }, At(0))
           .mFilter.Allows(kOld));
   CHECK(SentToNew(gate, 100, At(1)) == 0);
@@ -80,9 +80,9 @@
 TEST_CASE("TheNewVersionGetsWhatIsAllowedAndNoMore")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(0, 3) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(0, 3) }), At(0));
   CHECK(SentToNew(gate, 1000, At(1)) == 3);
-  gate.Take(Update(2, { Running(0, 5) }), At(300));
+  gate.ApplyUpdate(Update(2, { Running(0, 5) }), At(300));
   CHECK(SentToNew(gate, 1000, At(301)) == 2);
 }
 
@@ -91,7 +91,7 @@
 TEST_CASE("WithoutTheLeaderTheNewVersionGetsNothing")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(500, 100) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(500, 100) }), At(0));
   CHECK(SentToNew(gate, 1000, At(1999)) > 400);
   CHECK(SentToNew(gate, 1000, At(2000)) == 0);
 }
@@ -99,16 +99,17 @@
 TEST_CASE("AnUpdateThatWasOvertakenIsDropped")
 {
   RolloutGate gate;
-  gate.Take(Update(2, { Running(0, 0) }), At(0));
-  gate.Take(Update(1, { Running(1000, 0) }), At(1));
+  gate.ApplyUpdate(Update(2, { Running(0, 0) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(1000, 0) }), At(1));
   CHECK(SentToNew(gate, 100, At(2)) == 0);
 }
 
 TEST_CASE("AfterCompletionOnlyTheNewVersionGetsRequests")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { { .mService = kService, .mCurrent = kNew } }), At(0));
-  const auto choice = gate.ChooseRepeat(kService, kBoth, At(60000));
+  gate.ApplyUpdate(Update(1, { { .mService = kService, .mCurrent = kNew } }),
+                   At(0));
+  const auto choice = gate.ChooseRetry(kService, kBoth, At(60000));
   CHECK(choice.mFilter.Allows(kNew));
   CHECK_FALSE(choice.mFilter.Allows(kOld));
 }
@@ -116,8 +117,8 @@
 TEST_CASE("AfterARollbackTheNewVersionGetsNothing")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { { .mService = kService, .mRolledBack = { kNew } } }),
-            At(0));
+  gate.ApplyUpdate(
+    Update(1, { { .mService = kService, .mRolledBack = { kNew } } }), At(0));
   CHECK(SentToNew(gate, 1000, At(60000)) == 0);
 }
 
@@ -126,9 +127,9 @@
 TEST_CASE("AtTheEndOfTheShiftAnEntryWithoutALeaseUsesBothVersions")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(1000, 0) }), At(0));
-  CHECK_FALSE(gate.ChooseRepeat(kService, kBoth, At(1)).mFilter.Allows(kOld));
-  const auto choice = gate.ChooseRepeat(kService, kBoth, At(2500));
+  gate.ApplyUpdate(Update(1, { Running(1000, 0) }), At(0));
+  CHECK_FALSE(gate.ChooseRetry(kService, kBoth, At(1)).mFilter.Allows(kOld));
+  const auto choice = gate.ChooseRetry(kService, kBoth, At(2500));
   CHECK(choice.mFilter.Allows(kOld));
   CHECK(choice.mFilter.Allows(kNew));
 }
@@ -136,11 +137,11 @@
 TEST_CASE("WhileItIsTriedOnlyFewOfItsUpstreamsAreUsed")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(0, 1) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(0, 1) }), At(0));
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     const auto choice = gate.ChooseFirst(kService, "r", seed, kBoth, At(500));
     if (choice.mFilter.Allows(kNew)) {
-      CHECK(choice.mFilter.mMost == 3);
+      CHECK(choice.mFilter.mMaxUpstreams == 3);
       return;
     }
   }
--- a/test/rollout/RolloutPlay.cpp
+++ b/test/rollout/RolloutSimulation.cpp
@@ -1,4 +1,4 @@
-#include "rollout/RolloutPlay.h"
+#include "rollout/RolloutSimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,12 +21,12 @@
 constexpr int kMessageMs = 3;
 constexpr int kCommitMs = 10;
 constexpr int kElectionMs = 1200;
-constexpr int kAfterMs = 8000;
-constexpr std::uint64_t kBadUntilDue = 50;
+constexpr int kMarginMs = 8000;
+constexpr std::uint64_t kBadAnswersUntilDue = 50;
 constexpr int kRollBackMs = 5000;
 constexpr double kExposeShare = 0.1;
 constexpr double kExposeSlack = 50.0;
-constexpr double kColdTimes = 1.4;
+constexpr double kColdCacheFactor = 1.4;
 constexpr std::int64_t kEpochMicros = 1700000000000000;
 
 struct Running
@@ -48,23 +48,23 @@
 {
   RolloutGate mGate;
   std::uint64_t mOldRunning = 0;
-  int mTroubledUntilMs = 0;
+  int mDisruptedUntilMs = 0;
   bool mIsFrozen = false;
 };
 
-class Play
+class Simulation
 {
 public:
-  explicit Play(const RolloutPlayOptions& aOptions)
+  explicit Simulation(const RolloutSimulationOptions& aOptions)
     : mOptions(aOptions)
     , mRandom(aOptions.mSeed)
     , mRandom64(aOptions.mSeed)
     , mEntries(static_cast<std::size_t>(aOptions.mEntries))
     , mLoad(static_cast<std::size_t>(aOptions.mUpstreamsEach))
-    , mIsGrey(static_cast<std::size_t>(2 * aOptions.mUpstreamsEach))
+    , mHasGrayFailure(static_cast<std::size_t>(2 * aOptions.mUpstreamsEach))
   {
-    for (auto&& grey : mIsGrey) {
-      grey = Chance(mOptions.mGreyPart);
+    for (auto&& hasGrayFailure : mHasGrayFailure) {
+      hasGrayFailure = Chance(mOptions.mGrayFailureShare);
     }
     mTable.Start({ .mService = kService,
                    .mTo = kNew,
@@ -73,26 +73,26 @@
     mController.emplace(Options());
   }
 
-  RolloutPlayOutcome Run()
+  RolloutSimulationOutcome Run()
   {
-    for (; mNowMs < mOptions.mDurationMs + kAfterMs; mNowMs += kStepMs) {
+    for (; mNowMs < mOptions.mDurationMs + kMarginMs; mNowMs += kStepMs) {
       KillLeader();
-      Trouble();
+      Disrupt();
       Finish();
       Send();
       Report();
-      Lead();
+      StepLeader();
       Deliver();
     }
-    const double most =
+    const double maxNew =
       kExposeShare * static_cast<double>(mOutcome.mRequests) + kExposeSlack;
-    mOutcome.mOverExposed = static_cast<double>(mOutcome.mNew) > most;
+    mOutcome.mOverExposed = static_cast<double>(mOutcome.mNew) > maxNew;
     return mOutcome;
   }
 
 private:
   /** Something that happens later. */
-  struct Later
+  struct DelayedCall
   {
     int mAtMs = 0;
     std::function<void()> mCall;
@@ -100,7 +100,8 @@
 
   static RolloutOptions Options()
   {
-    return { .mExposeShare = kExposeShare, .mExposeSlack = kExposeSlack };
+    return { .mMaxExposureShare = kExposeShare,
+             .mExposureSlack = kExposeSlack };
   }
   bool Chance(double aPart)
   {
@@ -117,10 +118,11 @@
   std::int64_t Micros() const { return kEpochMicros + mNowMs * 1000LL; }
   const Rollout& Latest() const { return *mTable.Latest(kService); }
 
-  void Pass(std::function<void()> aCall)
+  void SendMessage(std::function<void()> aCall)
   {
-    if (!Chance(mOptions.mLost)) {
-      mLater.push_back({ mNowMs + kMessageMs + Draw(10), std::move(aCall) });
+    if (!Chance(mOptions.mMessageLoss)) {
+      mDelayedCalls.push_back(
+        { mNowMs + kMessageMs + Draw(10), std::move(aCall) });
     }
   }
 
@@ -133,30 +135,31 @@
     if (!mWasKilled && (byBad || byTime)) {
       mWasKilled = true;
       mController.reset();
-      mLeadsAgainMs = mNowMs + kElectionMs;
+      mNextLeaderMs = mNowMs + kElectionMs;
     }
-    if (!mController && mNowMs >= mLeadsAgainMs) {
+    if (!mController && mNowMs >= mNextLeaderMs) {
       ++mTerm;
       mController.emplace(Options());
     }
   }
 
-  void Trouble()
+  void Disrupt()
   {
-    if (mOptions.mTroubleEachMs == 0) {
+    if (mOptions.mDisruptionPeriodMs == 0) {
       return;
     }
-    const double part = static_cast<double>(kStepMs) / mOptions.mTroubleEachMs;
+    const double part =
+      static_cast<double>(kStepMs) / mOptions.mDisruptionPeriodMs;
     for (Entry& entry : mEntries) {
-      if (mNowMs >= entry.mTroubledUntilMs && Chance(part)) {
-        entry.mTroubledUntilMs = mNowMs + 1000;
+      if (mNowMs >= entry.mDisruptedUntilMs && Chance(part)) {
+        entry.mDisruptedUntilMs = mNowMs + 1000;
         entry.mIsFrozen = Chance(0.5);
       }
     }
   }
-  bool IsCut(const Entry& aEntry) const
+  bool IsDisrupted(const Entry& aEntry) const
   {
-    return mNowMs < aEntry.mTroubledUntilMs;
+    return mNowMs < aEntry.mDisruptedUntilMs;
   }
 
   void Finish()
@@ -165,11 +168,11 @@
       const Running one = mRunning.top();
       mRunning.pop();
       Entry& entry = mEntries[static_cast<std::size_t>(one.mEntry)];
-      entry.mGate.NoteAnswer(one.mAnswer);
+      entry.mGate.RecordAnswer(one.mAnswer);
       if (one.mIsNew) {
         --mLoad[static_cast<std::size_t>(one.mUpstream)];
         mOutcome.mBadAnswers += one.mIsBad ? 1 : 0;
-        if (mOutcome.mBadAnswers == kBadUntilDue && mDueMs == 0) {
+        if (mOutcome.mBadAnswers == kBadAnswersUntilDue && mDueMs == 0) {
           mDueMs = mNowMs + kRollBackMs;
         }
       } else {
@@ -190,7 +193,7 @@
   void SendOne(int aEntry)
   {
     Entry& entry = mEntries[static_cast<std::size_t>(aEntry)];
-    if (entry.mIsFrozen && IsCut(entry)) {
+    if (entry.mIsFrozen && IsDisrupted(entry)) {
       return;
     }
     const auto each = static_cast<std::size_t>(mOptions.mUpstreamsEach);
@@ -205,23 +208,26 @@
       return;
     }
     const bool isNew = mayNew && (!mayOld || Chance(0.5));
-    const int most = choice.mFilter.mMost == 0
-                       ? mOptions.mUpstreamsEach
-                       : static_cast<int>(choice.mFilter.mMost);
-    entry.mGate.NoteSent(kService);
-    Begin(aEntry, route, isNew, Draw(std::min(most, mOptions.mUpstreamsEach)));
+    const int maxUpstreams = choice.mFilter.mMaxUpstreams == 0
+                               ? mOptions.mUpstreamsEach
+                               : static_cast<int>(choice.mFilter.mMaxUpstreams);
+    entry.mGate.RecordSent(kService);
+    Begin(aEntry,
+          route,
+          isNew,
+          Draw(std::min(maxUpstreams, mOptions.mUpstreamsEach)));
   }
 
   void Begin(int aEntry, const std::string& aRoute, bool aIsNew, int aUpstream)
   {
     const std::size_t place = static_cast<std::size_t>(
       aUpstream + (aIsNew ? mOptions.mUpstreamsEach : 0));
-    bool failed = mIsGrey[place] && Chance(0.4);
+    bool failed = mHasGrayFailure[place] && Chance(0.4);
     double took =
       mOptions.mMeanMs * std::lognormal_distribution<>(0.0, 0.35)(mRandom);
     bool isBad = false;
     if (aIsNew) {
-      took *= kColdTimes;
+      took *= kColdCacheFactor;
       const VersionFault& fault = mOptions.mFault;
       const int load = mLoad[static_cast<std::size_t>(aUpstream)]++;
       const bool applies = mNowMs >= fault.mFromMs &&
@@ -253,8 +259,8 @@
                      .mRoute = aRoute,
                      .mFailed = failed,
                      .mPace = milliseconds(static_cast<int>(took)),
-                     .mFirst = {},
-                     .mTook = milliseconds(static_cast<int>(took)) },
+                     .mFirstEvent = {},
+                     .mTotalTime = milliseconds(static_cast<int>(took)) },
         .mIsBad = isBad });
   }
 
@@ -264,34 +270,34 @@
       Entry& entry = mEntries[i];
       const bool isDue =
         (mNowMs + static_cast<int>(i) * kStepMs) % kReportMs == 0;
-      if (!isDue || IsCut(entry)) {
+      if (!isDue || IsDisrupted(entry)) {
         continue;
       }
       const RolloutReport report = entry.mGate.Report(
         i + 1,
         [&](const auto&, const auto&) { return entry.mOldRunning; },
         Now());
-      Pass([this, report, i] {
+      SendMessage([this, report, i] {
         if (mController) {
-          mController->Take(report, mTerm, Now());
-          Tell(i);
+          mController->HandleReport(report, mTerm, Now());
+          SendUpdate(i);
         }
       });
     }
   }
 
-  void Tell(std::size_t aEntry)
+  void SendUpdate(std::size_t aEntry)
   {
     const RolloutUpdate update =
       mController->UpdateFor(aEntry + 1, mTable, mTerm);
-    Pass([this, update, aEntry] {
-      if (!IsCut(mEntries[aEntry])) {
-        mEntries[aEntry].mGate.Take(update, Now());
+    SendMessage([this, update, aEntry] {
+      if (!IsDisrupted(mEntries[aEntry])) {
+        mEntries[aEntry].mGate.ApplyUpdate(update, Now());
       }
     });
   }
 
-  void Lead()
+  void StepLeader()
   {
     if (!mController || mNowMs % 100 != 0) {
       return;
@@ -303,13 +309,13 @@
                         Micros(),
                         Now());
     for (const RolloutChange& change : step.mChanges) {
-      mLater.push_back(
+      mDelayedCalls.push_back(
         { mNowMs + kCommitMs, [this, change] { Commit(change); } });
     }
-    if (!step.mNotices.empty() || mTold != mTable.mNumber) {
-      mTold = mTable.mNumber;
+    if (!step.mNotices.empty() || mSentNumber != mTable.mNumber) {
+      mSentNumber = mTable.mNumber;
       for (std::size_t i = 0; i < mEntries.size(); ++i) {
-        Tell(i);
+        SendUpdate(i);
       }
     }
   }
@@ -324,7 +330,7 @@
       mOutcome.mEndedMs = mNowMs;
       if (mOutcome.mState == RolloutState::kCompleted) {
         for (const Entry& entry : mEntries) {
-          mOutcome.mCut += entry.mOldRunning;
+          mOutcome.mInterrupted += entry.mOldRunning;
         }
       }
     }
@@ -332,45 +338,45 @@
 
   void Deliver()
   {
-    std::vector<Later> due;
-    std::erase_if(mLater, [&](Later& aOne) {
+    std::vector<DelayedCall> due;
+    std::erase_if(mDelayedCalls, [&](DelayedCall& aOne) {
       const bool isDue = aOne.mAtMs <= mNowMs;
       if (isDue) {
         due.push_back(std::move(aOne));
       }
       return isDue;
     });
-    for (Later& one : due) {
+    for (DelayedCall& one : due) {
       one.mCall();
     }
   }
 
-  RolloutPlayOptions mOptions;
+  RolloutSimulationOptions mOptions;
   std::mt19937 mRandom;
   std::mt19937_64 mRandom64;
   std::vector<Entry> mEntries;
   std::vector<int> mLoad;
-  std::vector<bool> mIsGrey;
+  std::vector<bool> mHasGrayFailure;
   RolloutTable mTable;
   std::optional<RolloutController> mController;
   std::uint64_t mTerm = 1;
-  std::uint64_t mTold = 0;
+  std::uint64_t mSentNumber = 0;
   int mNowMs = 0;
   bool mWasKilled = false;
-  int mLeadsAgainMs = 0;
+  int mNextLeaderMs = 0;
   int mDueMs = 0;
   std::uint64_t mNewSent = 0;
   std::priority_queue<Running, std::vector<Running>, std::greater<>> mRunning;
-  std::vector<Later> mLater;
-  RolloutPlayOutcome mOutcome;
+  std::vector<DelayedCall> mDelayedCalls;
+  RolloutSimulationOutcome mOutcome;
 };
 
 } // namespace
 
-RolloutPlayOutcome
-PlayRollout(const RolloutPlayOptions& aOptions)
+RolloutSimulationOutcome
+SimulateRollout(const RolloutSimulationOptions& aOptions)
 {
-  return Play(aOptions).Run();
+  return Simulation(aOptions).Run();
 }
 
 } // namespace peridotspool::rollout
--- a/test/rollout/RolloutPlay.h
+++ b/test/rollout/RolloutSimulation.h
@@ -26,7 +26,7 @@
   bool IsBad() const { return mFails > 0.0 || mSlows > 0.0; }
 };
 
-struct RolloutPlayOptions
+struct RolloutSimulationOptions
 {
   unsigned mSeed = 1;
   int mEntries = 9;
@@ -37,19 +37,19 @@
   double mMeanMs = 120.0;
   VersionFault mFault;
   /** Part of all upstreams, old and new, that fail answers at random. */
-  double mGreyPart = 0.0;
+  double mGrayFailureShare = 0.0;
   /** Messages lost between entries and the leader. */
-  double mLost = 0.0;
+  double mMessageLoss = 0.0;
   /** The leader is killed then, and a new one leads 1.2 s later; 0: never. */
   int mLeaderKilledMs = 0;
   /** Or after so many bad answers. */
   std::uint64_t mLeaderKilledAtBad = 0;
   /** Each entry is frozen or cut off for a second about this often; 0: never.
    */
-  int mTroubleEachMs = 0;
+  int mDisruptionPeriodMs = 0;
 };
 
-struct RolloutPlayOutcome
+struct RolloutSimulationOutcome
 {
   RolloutState mState = RolloutState::kRunning;
   int mEndedMs = 0;
@@ -61,13 +61,13 @@
   /** To the new version, later than 5 s after its 50th bad answer. */
   std::uint64_t mLate = 0;
   /** Running at the old version when the rollout was completed. */
-  std::uint64_t mCut = 0;
+  std::uint64_t mInterrupted = 0;
   /** Allowed by the bound on exposure. */
   bool mOverExposed = false;
 };
 
 /** Plays one rollout without a network. */
-RolloutPlayOutcome
-PlayRollout(const RolloutPlayOptions& aOptions);
+RolloutSimulationOutcome
+SimulateRollout(const RolloutSimulationOptions& aOptions);
 
 } // namespace peridotspool::rollout
--- a/test/rollout/RolloutPlayTest.cpp
+++ b/test/rollout/RolloutSimulationTest.cpp
@@ -2,7 +2,7 @@
 // Plays rollouts of sound and of bad versions over many entries, with and
 // without trouble, and looks at what the new version got and how each ended.
 
-#include "rollout/RolloutPlay.h"
+#include "rollout/RolloutSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -26,7 +26,7 @@
                                                { 86, 60, 240 },
                                                { 300, 160, 900 } };
 
-RolloutPlayOptions
+RolloutSimulationOptions
 On(const Deployment& aDeployment, unsigned aSeed)
 {
   return { .mSeed = aSeed,
@@ -36,7 +36,8 @@
 }
 
 std::string
-ToText(const RolloutPlayOptions& aOptions, const RolloutPlayOutcome& aOutcome)
+ToText(const RolloutSimulationOptions& aOptions,
+       const RolloutSimulationOutcome& aOutcome)
 {
   return "seed " + std::to_string(aOptions.mSeed) + ", " +
          std::to_string(aOptions.mEntries) + " entries: state " +
@@ -46,7 +47,7 @@
          std::to_string(aOutcome.mRequests) + ", bad " +
          std::to_string(aOutcome.mBadAnswers) + ", late " +
          std::to_string(aOutcome.mLate) + ", cut " +
-         std::to_string(aOutcome.mCut);
+         std::to_string(aOutcome.mInterrupted);
 }
 
 /** Route with a seventh of the requests: on the smallest deployment twelve of
@@ -70,10 +71,10 @@
   for (const Deployment& deployment : kDeployments) {
     for (const VersionFault& fault : kFaults) {
       for (unsigned seed = 1; seed <= 3; ++seed) {
-        RolloutPlayOptions options = On(deployment, seed);
+        RolloutSimulationOptions options = On(deployment, seed);
         options.mFault = fault;
-        options.mLost = 0.02;
-        const RolloutPlayOutcome outcome = PlayRollout(options);
+        options.mMessageLoss = 0.02;
+        const RolloutSimulationOutcome outcome = SimulateRollout(options);
         INFO(ToText(options, outcome)
              << "; fails " << fault.mFails << " slows " << fault.mSlows
              << " from " << fault.mFromMs << " above " << fault.mAboveLoad
@@ -91,10 +92,10 @@
 {
   for (std::size_t place = 1; place < kDeployments.size(); ++place) {
     for (unsigned seed = 1; seed <= 3; ++seed) {
-      RolloutPlayOptions options = On(kDeployments[place], seed);
+      RolloutSimulationOptions options = On(kDeployments[place], seed);
       options.mFault = kRareRoute;
-      options.mLost = 0.02;
-      const RolloutPlayOutcome outcome = PlayRollout(options);
+      options.mMessageLoss = 0.02;
+      const RolloutSimulationOutcome outcome = SimulateRollout(options);
       INFO(ToText(options, outcome));
       CHECK(outcome.mState == RolloutState::kRolledBack);
       CHECK_FALSE(outcome.mOverExposed);
@@ -107,10 +108,10 @@
 TEST_CASE("AVersionThatIsBadUnderLoadIsRolledBackWhileItsShareRises")
 {
   for (unsigned seed = 1; seed <= 5; ++seed) {
-    RolloutPlayOptions options = On(kDeployments[1], seed);
+    RolloutSimulationOptions options = On(kDeployments[1], seed);
     options.mMeanMs = 1500.0;
     options.mFault = { .mFails = 0.5, .mAboveLoad = 4 };
-    const RolloutPlayOutcome outcome = PlayRollout(options);
+    const RolloutSimulationOutcome outcome = SimulateRollout(options);
     INFO(ToText(options, outcome));
     CHECK(outcome.mState == RolloutState::kRolledBack);
     CHECK_FALSE(outcome.mOverExposed);
@@ -123,15 +124,15 @@
 {
   for (const Deployment& deployment : kDeployments) {
     for (unsigned seed = 1; seed <= 10; ++seed) {
-      RolloutPlayOptions options = On(deployment, seed);
-      options.mGreyPart = seed % 2 == 0 ? 0.15 : 0.0;
-      options.mTroubleEachMs = seed % 3 == 0 ? 10000 : 0;
-      options.mLost = seed % 5 == 0 ? 0.05 : 0.0;
-      const RolloutPlayOutcome outcome = PlayRollout(options);
+      RolloutSimulationOptions options = On(deployment, seed);
+      options.mGrayFailureShare = seed % 2 == 0 ? 0.15 : 0.0;
+      options.mDisruptionPeriodMs = seed % 3 == 0 ? 10000 : 0;
+      options.mMessageLoss = seed % 5 == 0 ? 0.05 : 0.0;
+      const RolloutSimulationOutcome outcome = SimulateRollout(options);
       INFO(ToText(options, outcome));
       CHECK(outcome.mState == RolloutState::kCompleted);
       CHECK(outcome.mEndedMs <= options.mDurationMs);
-      CHECK(outcome.mCut == 0);
+      CHECK(outcome.mInterrupted == 0);
     }
   }
 }
@@ -141,11 +142,11 @@
 {
   for (const Deployment& deployment : kDeployments) {
     for (const std::uint64_t bad : { 1, 10, 30, 49 }) {
-      RolloutPlayOptions options = On(deployment, 1);
+      RolloutSimulationOptions options = On(deployment, 1);
       options.mFault = { .mFails = 0.3 };
       options.mLeaderKilledAtBad = bad;
-      options.mTroubleEachMs = 10000;
-      const RolloutPlayOutcome outcome = PlayRollout(options);
+      options.mDisruptionPeriodMs = 10000;
+      const RolloutSimulationOutcome outcome = SimulateRollout(options);
       INFO(ToText(options, outcome) << "; killed at bad answer " << bad);
       CHECK(outcome.mState == RolloutState::kRolledBack);
       CHECK_FALSE(outcome.mOverExposed);
@@ -158,9 +159,9 @@
 TEST_CASE("ASoundVersionIsCompletedByTheNextLeader")
 {
   for (const int killed : { 500, 3000, 6500, 8000, 9500 }) {
-    RolloutPlayOptions options = On(kDeployments[1], 1);
+    RolloutSimulationOptions options = On(kDeployments[1], 1);
     options.mLeaderKilledMs = killed;
-    const RolloutPlayOutcome outcome = PlayRollout(options);
+    const RolloutSimulationOutcome outcome = SimulateRollout(options);
     INFO(ToText(options, outcome) << "; killed after " << killed << " ms");
     CHECK(outcome.mState == RolloutState::kCompleted);
     CHECK(outcome.mEndedMs <= options.mDurationMs);
@@ -187,13 +188,13 @@
       int late = 0;
       int inTime = 0;
       for (unsigned seed = 1; seed <= plays; ++seed) {
-        RolloutPlayOptions options = On(deployment, 1000 + seed);
+        RolloutSimulationOptions options = On(deployment, 1000 + seed);
         options.mFault = fault;
-        options.mGreyPart = seed % 2 == 0 ? 0.15 : 0.0;
-        options.mTroubleEachMs = seed % 3 == 0 ? 10000 : 0;
-        options.mLost = seed % 5 == 0 ? 0.05 : 0.01;
+        options.mGrayFailureShare = seed % 2 == 0 ? 0.15 : 0.0;
+        options.mDisruptionPeriodMs = seed % 3 == 0 ? 10000 : 0;
+        options.mMessageLoss = seed % 5 == 0 ? 0.05 : 0.01;
         options.mLeaderKilledMs = seed % 7 == 0 ? 1000 * (seed % 10) : 0;
-        const RolloutPlayOutcome outcome = PlayRollout(options);
+        const RolloutSimulationOutcome outcome = SimulateRollout(options);
         completed += outcome.mState == RolloutState::kCompleted ? 1 : 0;
         inTime += outcome.mEndedMs <= options.mDurationMs ? 1 : 0;
         overExposed += outcome.mOverExposed ? 1 : 0;
