--- a/include/peridotspool/fleet/CloudCall.h
+++ b/include/peridotspool/fleet/CloudCall.h
@@ -10,22 +10,28 @@
 
 namespace peridotspool::fleet {
 
-/** Sets how many upstreams of one kind a service has in a failure domain. */
+/**
+ * Sets the number of upstreams of one purchase kind that a service has in a
+ * failure domain.
+ */
 struct PoolOrder
 {
   ServiceName mService;
   FailureDomain mDomain;
-  /** Cheaper, and taken back by the cloud on seconds of notice. */
+  /** Cheaper than on-demand; the cloud may reclaim it on seconds of notice. */
   bool mReclaimable = false;
   std::uint32_t mDesired = 0;
 
   auto operator<=>(const PoolOrder&) const = default;
 };
 
-/** What the holder of the duties tells the cloud. */
+/** A request that the control leader sends to the cloud. */
 using CloudCall = std::variant<gateway::UsageWindow, PoolOrder>;
 
-/** Who tells it: a higher number overrides a lower one. */
+/**
+ * Identifies the sender of a cloud call. The cloud lets a higher fence override
+ * a lower one.
+ */
 struct FencingStamp
 {
   std::string mHolder;
--- a/include/peridotspool/fleet/EngineSetup.h
+++ b/include/peridotspool/fleet/EngineSetup.h
@@ -6,7 +6,10 @@
 
 namespace peridotspool::fleet {
 
-/** What orders make of an engine: all of it is state, nothing counts up. */
+/**
+ * The setup that orders give an engine. It is pure state without counters, so
+ * applying it twice has no further effect.
+ */
 struct EngineSetup
 {
   std::string mModel;
--- a/include/peridotspool/fleet/FleetEffect.h
+++ b/include/peridotspool/fleet/FleetEffect.h
@@ -9,7 +9,7 @@
 
 namespace peridotspool::fleet {
 
-/** Ask the cloud for an instance. */
+/** Request an instance from the cloud. */
 struct StartEffect
 {
   StartId mStart;
@@ -17,19 +17,21 @@
   OfferKey mOffer;
 };
 
-/** Let the instance's upstream finish what it has and take nothing new. */
+/**
+ * Stop sending new work to the instance's upstream and let running work finish.
+ */
 struct DrainInstanceEffect
 {
   InstanceName mInstance;
 };
 
-/** Give the instance back to the cloud; it was drained before. */
+/** Return an instance to the cloud after it was drained. */
 struct StopInstanceEffect
 {
   InstanceName mInstance;
 };
 
-/** Why something was decided, for the log. */
+/** The reason for a decision, for the log. */
 struct DecisionEffect
 {
   ServiceName mService;
--- a/include/peridotspool/fleet/FleetEvent.h
+++ b/include/peridotspool/fleet/FleetEvent.h
@@ -12,7 +12,7 @@
 {
   kStarting,
   kServing,
-  /** Under notice or draining: counts as lost already. */
+  /** Under a reclaim notice or draining; already counted as lost. */
   kLeaving,
 };
 
@@ -20,14 +20,14 @@
 struct InstanceInfo
 {
   InstanceName mName;
-  /** The start that made it; unset if it is not known. */
+  /** The start request that created the instance; unset if unknown. */
   StartId mStart;
   ServiceName mService;
   OfferKey mOffer;
   InstanceState mState = InstanceState::kStarting;
 };
 
-/** The settings' demands; replaces the earlier ones. */
+/** The demands from the settings; replaces the earlier ones. */
 struct DemandEvent
 {
   std::vector<ServiceDemand> mDemands;
@@ -39,7 +39,9 @@
   std::vector<Offer> mOffers;
 };
 
-/** All instances that the cloud knows; the planner acts after the first. */
+/**
+ * All instances known to the cloud. The planner acts only after the first list.
+ */
 struct ListedEvent
 {
   std::vector<InstanceInfo> mInstances;
@@ -51,19 +53,19 @@
   InstanceName mInstance;
 };
 
-/** The cloud has none to give at the moment. */
+/** The cloud has no capacity for this start at the moment. */
 struct StartRefusedEvent
 {
   StartId mStart;
 };
 
-/** The instance's upstream has announced itself. */
+/** The instance's upstream has registered. */
 struct ServingEvent
 {
   InstanceName mInstance;
 };
 
-/** The cloud takes the instance back soon. */
+/** The cloud is about to reclaim the instance. */
 struct ReclaimNoticeEvent
 {
   InstanceName mInstance;
@@ -74,21 +76,22 @@
   InstanceName mInstance;
 };
 
-/** A draining instance has no work left. */
+/** A draining instance has no requests left. */
 struct DrainedEvent
 {
   InstanceName mInstance;
 };
 
-/** 95th percentile of the time to a service's first token, over the last
- * seconds. */
+/**
+ * 95th percentile of the time to a service's first token over the last seconds.
+ */
 struct LatencyEvent
 {
   ServiceName mService;
   Duration mFirstToken{ 0 };
 };
 
-/** Time has passed; about every second. */
+/** Advances time; sent about once a second. */
 struct FleetTickEvent
 {};
 
--- a/include/peridotspool/fleet/FleetOptions.h
+++ b/include/peridotspool/fleet/FleetOptions.h
@@ -10,30 +10,42 @@
 /** Times, bounds and weights of the fleet planner. */
 struct FleetOptions
 {
-  /** Nothing is decided before; an earlier leader may still be at work. */
+  /**
+   * No decision is made before this time, because an earlier leader may still
+   * be starting instances.
+   */
   TimePoint mActAfter;
-  /** Start ids go on after this one; unlike those of earlier leaders. */
+  /**
+   * New start ids follow this one, so they differ from those of earlier
+   * leaders.
+   */
   StartId mLastStart;
-  /** A refused offer is left alone for this long, doubling, with jitter. */
+  /**
+   * Initial back-off of an offer whose start was refused; doubles with each
+   * refusal, with jitter.
+   */
   Duration mRefusalBackoff = std::chrono::seconds(5);
   Duration mMaxRefusalBackoff = std::chrono::minutes(5);
-  /** Starts without an answer for this long count as refused. */
+  /** A start without a response within this time counts as refused. */
   Duration mStartTimeout = std::chrono::minutes(3);
-  /** Starts under way at once, over all services. */
+  /** Maximum number of pending starts over all services. */
   std::uint32_t mMaxStarting = 8;
-  /** What one reclaim costs at latency weight 1, in currency. */
+  /** Cost of one reclaim at latency weight 1, in currency. */
   double mReclaimCost = 0.5;
-  /** Reclaims count half after this long. */
+  /** The weight of past reclaims halves after this time. */
   Duration mRecordHalfLife = std::chrono::hours(6);
-  /** What a preferred domain is worth, in currency an hour. */
+  /** Value of a preferred domain, in currency per hour. */
   double mPreferenceValue = 0.2;
-  /** What having all instances in one domain costs, in currency an hour. */
+  /** Cost of having all instances in one domain, in currency per hour. */
   double mSpreadCost = 0.5;
-  /** Too slow for this long: one instance more. */
+  /** Adds one instance after the latency target was missed for this long. */
   Duration mGrowAfter = std::chrono::seconds(30);
-  /** Twice as fast as needed for this long: one instance less. */
+  /**
+   * Removes one instance after latency was below half of the target for this
+   * long.
+   */
   Duration mShrinkAfter = std::chrono::minutes(10);
-  /** A surplus is kept for this long before one instance is drained. */
+  /** A surplus must last this long before one instance is drained. */
   Duration mSurplusDelay = std::chrono::minutes(2);
   std::uint64_t mRandomSeed = 1;
 };
--- a/include/peridotspool/fleet/FleetPlanner.h
+++ b/include/peridotspool/fleet/FleetPlanner.h
@@ -16,20 +16,24 @@
 namespace peridotspool::fleet {
 
 /**
- * Decides which instances to start and to stop, and where. Lives on the control
- * leader and begins anew with each one: the cloud's list is its memory.
+ * Decides which instances to start and stop, and in which failure domains. Runs
+ * on the control leader. Each new leader starts without state and recovers it
+ * from the cloud's list of instances.
  *
- * A pure step without clock, thread or socket. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class FleetPlanner
 {
 public:
   explicit FleetPlanner(FleetOptions aOptions);
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Processes one event and returns the effects that the host carries out in
+   * order.
+   */
   FleetEffects Step(const FleetEvent& aEvent, TimePoint aNow);
 
-  /** How many instances a service is to have now. */
+  /** Returns the number of instances that a service should have now. */
   std::uint32_t Wanted(const ServiceName& aService) const;
   std::size_t Starting() const { return mStarts.size(); }
 
@@ -87,7 +91,9 @@
   std::map<ServiceName, Service> mServices;
   std::vector<Offer> mOffers;
   std::map<InstanceName, InstanceInfo> mInstances;
-  /** When instances were first heard of, until the cloud has listed them. */
+  /**
+   * When instances were first reported, until the cloud's list contains them.
+   */
   std::map<InstanceName, TimePoint> mUnlisted;
   std::map<StartId, Start> mStarts;
   StartId mLastStart;
--- a/include/peridotspool/fleet/LeaderTaskManager.h
+++ b/include/peridotspool/fleet/LeaderTaskManager.h
@@ -19,35 +19,40 @@
 struct LeaderTaskOptions
 {
   Duration mUsageWindow = std::chrono::seconds(5);
-  /** How long after a window's end its usage is due. */
+  /** Usage of a window is due this long after the window's end. */
   Duration mUsageDueAfter = std::chrono::seconds(10);
-  /** Two holders are never in charge within this time of each other. */
+  /** No two leaders act alternately within this time. */
   Duration mLease = std::chrono::seconds(3);
-  /** A call without an answer for this long is made again. */
+  /**
+   * A usage report without a successful response is retried after this time.
+   * Any call without a response counts as failed after four times as long.
+   */
   Duration mRetryInterval = std::chrono::milliseconds(700);
   PoolOptions mPool;
 };
 
-/** What the replica knows when it looks at its duties. */
+/** What the replica knows when it runs the leader tasks. */
 struct LeaderTaskView
 {
-  /** This replica leads and its lease holds. */
+  /** True if this replica leads and its lease is valid. */
   bool mLeads = false;
-  /** Rises with each leader. */
+  /** Increases with each leader. */
   std::uint64_t mTerm = 0;
-  /** The windows that the log has committed, in rising order. */
+  /** The windows committed to the control log, in increasing order. */
   const std::vector<gateway::UsageWindow>* mCommitted = nullptr;
   const gateway::RouteTable* mTable = nullptr;
   const std::map<ServiceName, PoolView>* mPools = nullptr;
 };
 
-/** Commit these counts before anybody is told of them. */
+/**
+ * Commit these counts to the control log before reporting them to the cloud.
+ */
 struct CommitUsage
 {
   gateway::UsageWindow mWindow;
 };
 
-/** Call the cloud; the result comes back with the number. */
+/** Send a call to the cloud; its result is passed back with mNumber. */
 struct SendCloudCall
 {
   std::uint64_t mNumber = 0;
@@ -58,9 +63,10 @@
 using LeaderTaskEffect = std::variant<CommitUsage, SendCloudCall>;
 
 /**
- * The duties of the one holder: usage by window and orders of upstreams.
+ * Tasks that only the control leader runs: it reports usage by window and
+ * orders upstreams from the cloud.
  *
- * A pure step. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class LeaderTaskManager
 {
@@ -68,13 +74,18 @@
   explicit LeaderTaskManager(LeaderTaskOptions aOptions);
 
   void RecordReport(const gateway::UsageReport& aReport, TimePoint aNow);
-  /** aStatus is 0 when there was no answer. */
+  /**
+   * Records the HTTP status of a call; aStatus is 0 when there was no response.
+   */
   void HandleResult(std::uint64_t aNumber, unsigned aStatus, TimePoint aNow);
   std::vector<LeaderTaskEffect> Tick(const LeaderTaskView& aView,
                                      TimePoint aNow);
-  /** Requests that run at a service's upstreams, by the entries' reports. */
+  /**
+   * Returns the number of requests running at a service's upstreams, according
+   * to the entries' reports.
+   */
   double Running(const ServiceName& aService, TimePoint aNow) const;
-  /** What most processes take for the time of day. */
+  /** Returns the time of day that most processes agree on, in microseconds. */
   std::optional<std::int64_t> CommonMicros(TimePoint aNow) const
   {
     return mClock.Micros(aNow);
@@ -85,7 +96,7 @@
   {
     mClock.Take(aProcess, aMicros, aNow);
   }
-  /** Returns true iff this replica may act at aNow. */
+  /** Returns true iff this replica may act as the leader at aNow. */
   bool MayAct(const LeaderTaskView& aView, TimePoint aNow) const;
 
 private:
--- a/include/peridotspool/fleet/Offer.h
+++ b/include/peridotspool/fleet/Offer.h
@@ -11,13 +11,13 @@
 
 enum class PurchaseKind
 {
-  /** Cheaper; the cloud may take it back on seconds of notice. */
+  /** Cheaper; the cloud may reclaim it on seconds of notice. */
   kReclaimable,
   kOnDemand,
 };
 BOOST_DESCRIBE_ENUM(PurchaseKind, kReclaimable, kOnDemand)
 
-/** What can be bought: where, which machine and on which terms. */
+/** What can be bought: the failure domain, machine class and purchase terms. */
 struct OfferKey
 {
   FailureDomain mDomain;
--- a/include/peridotspool/fleet/OfferBackoff.h
+++ b/include/peridotspool/fleet/OfferBackoff.h
@@ -9,7 +9,7 @@
 
 namespace peridotspool::fleet {
 
-/** Leaves refused offers alone for a while, longer each time. */
+/** Exponential back-off with jitter for offers whose starts were refused. */
 class OfferBackoff
 {
 public:
@@ -17,9 +17,12 @@
 
   void RecordRefusal(const OfferKey& aOffer, TimePoint aNow);
   void RecordSuccess(const OfferKey& aOffer);
-  /** Returns true iff the offer may be tried. */
+  /** Returns true iff the offer's back-off has elapsed. */
   bool IsOpen(const OfferKey& aOffer, TimePoint aNow) const;
-  /** Returns true iff the last start was refused: it is tried with one. */
+  /**
+   * Returns true iff the last start of the offer was refused. Such an offer is
+   * probed with a single start.
+   */
   bool WasRefused(const OfferKey& aOffer) const;
 
 private:
--- a/include/peridotspool/fleet/OrderDispatcher.h
+++ b/include/peridotspool/fleet/OrderDispatcher.h
@@ -13,25 +13,31 @@
 namespace peridotspool::fleet {
 
 /**
- * Brings engines to the setup that they are to have, by orders with fencing
- * numbers. Lives on the control leader and begins anew with each one: the
- * engines' own setups are its memory, and an order says what shall be, so that
- * giving it twice is harmless.
+ * Brings engines to their desired setup by orders with fencing numbers. Runs on
+ * the control leader. Each new leader starts without state and reads the setups
+ * back from the engines. An order states the desired setup, so sending it twice
+ * is idempotent.
  *
- * Engines that ignore fencing numbers get no order before the orders of an
- * earlier leader have surely ended.
+ * Engines that ignore fencing numbers receive no order until every order of an
+ * earlier leader must have ended.
  *
- * A pure step without clock, thread or socket. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class OrderDispatcher
 {
 public:
   explicit OrderDispatcher(OrderDispatcherOptions aOptions);
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Processes one event and returns the effects that the host carries out in
+   * order.
+   */
   OrderEffects Step(const OrderEvent& aEvent, TimePoint aNow);
 
-  /** Returns true iff an engine has shown that another leader gives orders. */
+  /**
+   * Returns true iff an engine has rejected a fencing number as stale, which
+   * means that another leader issues orders.
+   */
   bool IsStale() const { return mStale; }
 
 private:
@@ -40,9 +46,9 @@
     Incarnation mIncarnation;
     bool mChecksFencing = false;
     std::optional<DesiredSetupEvent> mWanted;
-    /** Known since the last order ended; unset while it isn't. */
+    /** Unset until the setup has been read back after the last order. */
     std::optional<EngineSetup> mSetup;
-    /** The question whose answer counts; unset if none does. */
+    /** The only query whose response is accepted; unset if none is. */
     ReadNumber mRead;
     TimePoint mReadAt;
     std::optional<OrderId> mOrder;
@@ -81,7 +87,7 @@
   std::map<OrderId, Order> mOrders;
   OrderId mLastOrder;
   ReadNumber mLastRead;
-  /** When the weight store is through with the loads asked for so far. */
+  /** When the weight store will have finished all loads requested so far. */
   TimePoint mStoreFreeAt;
   bool mStale = false;
 };
--- a/include/peridotspool/fleet/OrderDispatcherOptions.h
+++ b/include/peridotspool/fleet/OrderDispatcherOptions.h
@@ -10,27 +10,30 @@
 /** Times and bounds of the orders to engines. */
 struct OrderDispatcherOptions
 {
-  /** When this replica took the lead. */
+  /** When this replica became the leader. */
   TimePoint mLeaderSince;
   /** The control leader's lease; see control::ConsensusOptions. */
   Duration mLease = std::chrono::milliseconds(500);
   double mClockRateBound = 0.01;
-  /** An order leaves within this time after its number was given, or never. */
+  /**
+   * An order is sent within this time after its fencing number was issued, or
+   * not at all.
+   */
   Duration mMaxSendDelay = std::chrono::milliseconds(200);
-  /** No engine works on an order for longer. */
+  /** Maximum time for which an engine works on one order. */
   Duration mMaxOrderDuration = std::chrono::seconds(120);
-  /** Bytes a second that the weight store gives to all engines together. */
+  /** Bandwidth of the weight store, shared by all engines. */
   std::uint64_t mStoreBytesPerSecond = 2ULL << 30;
-  /** Loads may be asked for so far ahead of the store's rate. */
+  /** Maximum backlog of the weight store, as time at its full rate. */
   Duration mMaxStoreBacklog = std::chrono::seconds(5);
   Duration mFailureBackoff = std::chrono::seconds(2);
   Duration mMaxFailureBackoff = std::chrono::minutes(2);
-  /** An engine's state is read again after this long without an answer. */
+  /** A setup query without a response is repeated after this time. */
   Duration mReadRetryInterval = std::chrono::seconds(1);
-  /** Order ids go on after this one. */
+  /** New order ids follow this one. */
   OrderId mLastOrder;
 
-  /** How long orders of an earlier leader may still be at work. */
+  /** Returns how long orders of an earlier leader may still be running. */
   Duration EarlierOrderTimeout() const;
 };
 
--- a/include/peridotspool/fleet/OrderEffect.h
+++ b/include/peridotspool/fleet/OrderEffect.h
@@ -11,20 +11,26 @@
 
 namespace peridotspool::fleet {
 
-/** Ask the engine for its setup; answered by SetupReadEvent or not at all. */
+/**
+ * Query the engine's setup. The response arrives as SetupReadEvent, or may be
+ * lost.
+ */
 struct ReadSetupEffect
 {
   ReadNumber mRead;
   UpstreamName mEngine;
 };
 
-/** Take a number from the control log; answered by FencingNumberIssuedEvent. */
+/**
+ * Request a fencing number from the control log; it arrives as
+ * FencingNumberIssuedEvent.
+ */
 struct RequestFencingNumberEffect
 {
   OrderId mOrder;
 };
 
-/** Send the order, unless mNotAfter has passed on this process's clock. */
+/** Send the order unless this process's clock has passed mNotAfter. */
 struct SendOrderEffect
 {
   OrderId mOrder;
@@ -34,7 +40,7 @@
   TimePoint mNotAfter;
 };
 
-/** Why an order was given or not, for the log. */
+/** The reason why an order was issued or not, for the log. */
 struct OrderDecisionEffect
 {
   UpstreamName mEngine;
--- a/include/peridotspool/fleet/OrderEvent.h
+++ b/include/peridotspool/fleet/OrderEvent.h
@@ -9,12 +9,15 @@
 
 namespace peridotspool::fleet {
 
-/** An engine has announced itself, or comes back as a new incarnation. */
+/** An engine has registered, possibly as a new incarnation. */
 struct EngineAnnouncedEvent
 {
   UpstreamName mEngine;
   Incarnation mIncarnation;
-  /** From its announcement and the settings: it refuses old numbers. */
+  /**
+   * True if the engine rejects old fencing numbers, according to its
+   * announcement and the settings.
+   */
   bool mChecksFencing = false;
 };
 
@@ -23,18 +26,21 @@
   UpstreamName mEngine;
 };
 
-/** What an engine is to become; replaces an earlier wish for it. */
+/** The desired setup of an engine; replaces an earlier one. */
 struct DesiredSetupEvent
 {
   UpstreamName mEngine;
   EngineSetup mSetup;
-  /** Size of the model, fetched from the weight store. */
+  /** Size of the model in the weight store. */
   std::uint64_t mModelBytes = 0;
-  /** Higher goes first where the weight store is short. */
+  /**
+   * Engines with a higher urgency are served first while the weight store is
+   * the bottleneck.
+   */
   double mUrgency = 0.0;
 };
 
-/** The answer to ReadSetupEffect. */
+/** The response to ReadSetupEffect. */
 struct SetupReadEvent
 {
   ReadNumber mRead;
@@ -42,7 +48,7 @@
   EngineSetup mSetup;
 };
 
-/** The control log has committed a number for this order. */
+/** The control log has committed a fencing number for this order. */
 struct FencingNumberIssuedEvent
 {
   OrderId mOrder;
@@ -53,7 +59,10 @@
 {
   kDone,
   kFailed,
-  /** The engine has seen a higher number: another leader gives orders. */
+  /**
+   * The engine has seen a higher fencing number, so another leader issues
+   * orders.
+   */
   kStale,
 };
 
@@ -63,7 +72,7 @@
   OrderOutcome mOutcome = OrderOutcome::kDone;
 };
 
-/** Time has passed; about every 100 ms. */
+/** Advances time; sent about every 100 ms. */
 struct OrderTickEvent
 {};
 
--- a/include/peridotspool/fleet/PoolPlanner.h
+++ b/include/peridotspool/fleet/PoolPlanner.h
@@ -14,34 +14,44 @@
 
 struct PoolOptions
 {
-  /** Upstreams of a service that are kept even without load. */
+  /** Minimum number of upstreams of a service, even without load. */
   std::uint32_t mMinUpstreams = 8;
-  /** Requests that run at one upstream when the pool is as large as wanted. */
+  /** Target number of requests running at each upstream. */
   double mTargetConcurrency = 3.5;
-  /** An order is repeated when nothing came of it for boot time and this. */
+  /**
+   * An order is repeated if it has had no effect after the boot time plus this
+   * timeout.
+   */
   Duration mOrderTimeout = std::chrono::seconds(3);
-  /** A refused order is tried again after this long. Reclaims of one domain
-   * after the other leave gaps of a second in which there are some to be had;
-   * with 1.5 s between two tries three of ten were missed. */
+  /**
+   * Time before a refused order is retried. When the cloud reclaims one domain
+   * after another, capacity may be available for only a second in between;
+   * retrying every 1.5 s missed three of ten such gaps.
+   */
   Duration mRefusedOrderBackoff = std::chrono::milliseconds(500);
-  /** Before any load no upstream is given up for this long: those that run
-   * already have to be heard first. */
+  /**
+   * Before any load, on-demand upstreams are not released for this long,
+   * because the heartbeats of running upstreams have to arrive first.
+   */
   Duration mObservationPeriod = std::chrono::milliseconds(1500);
-  /** Fewer upstreams are ordered only after they were too many this long. */
+  /** The pool shrinks only after it was too large for this long. */
   Duration mShrinkAfter = std::chrono::seconds(8);
-  /** Then by half at the most, and by half again after this long. */
+  /** Each step at most halves the pool; this is the time between steps. */
   Duration mShrinkInterval = std::chrono::seconds(3);
-  /** None are given up for this long after others were refused... */
+  /** The pool does not shrink for this long after an order was refused... */
   Duration mShortageHold = std::chrono::seconds(3);
-  /** ...but too many are not kept for longer than this. */
+  /** ...but an excess does not last longer than this. */
   Duration mMaxShrinkDelay = std::chrono::seconds(25);
-  /** With fewer reclaimable ones than this part, onDemand ones are taken. */
+  /**
+   * On-demand upstreams are ordered when the number of reclaimable ones falls
+   * below this share of the wanted number.
+   */
   double mOnDemandShare = 0.5;
-  /** Lasting ones are kept at least this long. */
+  /** Minimum time for which on-demand upstreams are retained. */
   Duration mMinOnDemandTime = std::chrono::seconds(3);
 };
 
-/** Ready upstreams of one kind in one failure domain. */
+/** Identifies the upstreams of one purchase kind in one failure domain. */
 struct PoolKey
 {
   FailureDomain mDomain;
@@ -50,43 +60,47 @@
   auto operator<=>(const PoolKey&) const = default;
 };
 
-/** What is known of one service when its pool is planned. */
+/** The known state of one service when its pool is planned. */
 struct PoolView
 {
   std::map<PoolKey, std::uint32_t> mReady;
-  /** Requests that run at all its upstreams. */
+  /** Requests running at all upstreams of the service. */
   double mRunning = 0.0;
 };
 
 /**
- * How many upstreams of one service to have, where and of which kind.
- * Reclaimable ones cost a fraction and are spread over all failure domains, so
- * that a reclaimed domain takes a part only; onDemand ones are given up once
- * reclaimable ones stand in for them, and taken where those are refused.
+ * Plans how many upstreams a service has in each failure domain and of which
+ * purchase kind. Reclaimable upstreams cost a fraction of on-demand ones. They
+ * are spread over all failure domains, so a reclaimed domain removes only a
+ * part. On-demand upstreams are ordered where reclaimable ones are refused, and
+ * released once reclaimable ones have replaced them.
  *
- * A pure step. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class PoolPlanner
 {
 public:
   explicit PoolPlanner(PoolOptions aOptions);
 
-  /** Returns the orders to give now. */
+  /** Returns the orders to send now. */
   std::vector<PoolOrder> Plan(const gateway::ServiceProfile& aService,
                               const PoolView& aView,
                               TimePoint aNow);
-  /** Says how an order ended; aRefused: there are none to be had. */
+  /**
+   * Records the result of an order; aRefused means that the cloud has a
+   * capacity shortage.
+   */
   void HandleResult(const PoolOrder& aOrder,
                     bool aDone,
                     bool aRefused,
                     TimePoint aNow);
-  /** Upstreams wanted in all, as last planned. */
+  /** Returns the total number of upstreams wanted by the last plan. */
   std::uint32_t Wanted() const { return mWanted; }
 
 private:
   struct Slot
   {
-    /** The last order that the cloud took. */
+    /** The last order that the cloud accepted. */
     std::optional<std::uint32_t> mOrdered;
     TimePoint mOrderedAt;
     bool mOrderPending = false;
@@ -125,16 +139,22 @@
   std::map<PoolKey, Slot> mSlots;
   std::uint32_t mWanted = 0;
   bool mLoadSeen = false;
-  /** The most that ran before any load without having been ordered here. */
+  /**
+   * Largest numbers of upstreams found running before any load. Upstreams that
+   * this planner ordered do not count.
+   */
   std::uint32_t mDiscoveredOnDemand = 0;
   std::uint32_t mDiscoveredReclaimable = 0;
   bool mOnDemandOrdered = false;
   std::optional<TimePoint> mPlanningSince;
   std::optional<TimePoint> mExcessSince;
-  /** When fewer were wanted for long enough, and there were fewer then. */
+  /**
+   * When the last step of a shrink was made; unset while the pool is not
+   * shrinking.
+   */
   std::optional<TimePoint> mLastShrinkAt;
   std::optional<TimePoint> mRefusedAt;
-  /** Lasting upstreams that stand in for reclaimable ones. */
+  /** On-demand upstreams needed in place of missing reclaimable ones. */
   std::uint32_t mOnDemandNeed = 0;
   TimePoint mOnDemandNeededAt;
 };
--- a/include/peridotspool/fleet/ReclaimRecord.h
+++ b/include/peridotspool/fleet/ReclaimRecord.h
@@ -7,18 +7,21 @@
 
 namespace peridotspool::fleet {
 
-/** How often reclaimable instances were taken back lately, by offer. */
+/** Tracks by offer how often reclaimable instances were reclaimed recently. */
 class ReclaimRecord
 {
 public:
   explicit ReclaimRecord(Duration aHalfLife);
 
-  /** One instance of this offer was taken back. */
+  /** Records that one instance of the offer was reclaimed. */
   void RecordReclaim(const OfferKey& aOffer, TimePoint aNow);
-  /** So many instances of this offer have run for so long. */
+  /** Adds aHours of running time of instances of the offer. */
   void RecordHours(const OfferKey& aOffer, double aHours, TimePoint aNow);
 
-  /** Expected reclaims of one instance an hour; 0 for on-demand. */
+  /**
+   * Returns the expected number of reclaims of one instance per hour; 0 for
+   * on-demand.
+   */
   double RatePerHour(const OfferKey& aOffer, TimePoint aNow) const;
 
 private:
--- a/include/peridotspool/fleet/ServiceDemand.h
+++ b/include/peridotspool/fleet/ServiceDemand.h
@@ -11,21 +11,23 @@
 
 namespace peridotspool::fleet {
 
-/** What a service wants of the fleet; from the settings tree. */
+/** A service's requirements for its instances, from the settings. */
 struct ServiceDemand
 {
   ServiceName mService;
   MachineClass mClass;
-  /** Bounds of its instances; between them the latency target decides. */
+  /**
+   * Bounds of the number of instances; between them the latency target decides.
+   */
   std::uint32_t mMinInstances = 1;
   std::uint32_t mMaxInstances = 1;
   /** 95th percentile of the time to the first token. */
   Duration mLatencyTarget = std::chrono::milliseconds(440);
   double mLatencyWeight = 1.0;
   double mCostWeight = 1.0;
-  /** Failure domains near its callers; empty for no preference. */
+  /** Failure domains close to the callers; empty for no preference. */
   std::vector<FailureDomain> mPreferredDomains;
-  /** Most of its instances in one domain, as a share. */
+  /** Maximum share of the service's instances in one failure domain. */
   double mMaxDomainShare = 0.5;
 
   auto operator<=>(const ServiceDemand&) const = default;
--- a/include/peridotspool/fleet/UsageAggregator.h
+++ b/include/peridotspool/fleet/UsageAggregator.h
@@ -10,23 +10,25 @@
 namespace peridotspool::fleet {
 
 /**
- * Adds up what the entries report of each window. A incarnation's newest report
- * of a window replaces its earlier ones, so reports may be lost, late or
- * doubled.
+ * Sums up the usage that entries report for each window. The newest report of
+ * an entry's incarnation replaces its earlier ones for the same window, so
+ * lost, late and duplicate reports are harmless.
  *
- * A pure step. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class UsageAggregator
 {
 public:
-  /** aMaxWait: how long after its end a window waits for missing reports. */
+  /**
+   * aMaxWait bounds how long after its end a window waits for missing reports.
+   */
   UsageAggregator(Duration aWindow, Duration aMaxWait);
 
   void AddReport(const gateway::UsageReport& aReport, std::int64_t aMicros);
   /**
-   * Returns the sum of the oldest window after aLast that is over and that all
-   * lives have reported to its end, or that has waited long enough; empty
-   * without one.
+   * Returns the sum of the oldest window after aLast if the window is over and
+   * either every incarnation has reported past its end or the wait is over.
+   * Returns empty otherwise.
    */
   std::optional<gateway::UsageWindow> Due(std::uint64_t aLast,
                                           std::int64_t aMicros);
--- a/include/peridotspool/rollout/AllowanceAccount.h
+++ b/include/peridotspool/rollout/AllowanceAccount.h
@@ -9,35 +9,36 @@
 
 /**
  * The leader's account of the requests that entries may send to a new version
- * before it is found sound.
+ * before the version has been accepted.
  *
- * The sum of all allowances never exceeds what the control log says may have
- * been granted out, and that is never raised above the bound on exposure. So
- * the bound holds whatever message, entry or leader is lost: an entry sends no
- * more than its newest allowance says, and a new leader counts all that earlier
- * ones had reserved as spent.
+ * The sum of all allowances never exceeds the number reserved in the control
+ * log, and that number never exceeds the exposure bound. The bound therefore
+ * holds when messages, entries or leaders are lost: an entry sends no more than
+ * its newest allowance, and a new leader counts everything that earlier leaders
+ * reserved as spent.
  *
- * A pure step; not thread-safe.
+ * A state machine without clock, threads or sockets; not thread-safe.
  */
 class AllowanceAccount
 {
 public:
-  /** @param aSpent reserved before this leader's time */
+  /** @param aSpent requests reserved by earlier leaders */
   explicit AllowanceAccount(std::uint64_t aSpent)
     : mSpent(aSpent)
   {
   }
 
   /**
-   * Takes what an entry's process says; aSequence is the last update that it
-   * has taken from this leader. What it can't use any more is available again.
+   * Records the progress of an entry's process; aSequence is the last update
+   * from this leader that it has applied. Requests that it can no longer use
+   * become available again.
    */
   void RecordProgress(std::uint64_t aIncarnation,
                       const RolloutProgress& aProgress,
                       std::uint64_t aSequence);
   /**
-   * Returns the entry's allowance for its next update, raised to so many unused
-   * ones if aReserved leaves available.
+   * Returns the entry's allowance for its next update. Raises it to aUnused
+   * unused requests as far as aReserved permits.
    */
   std::uint64_t Allow(std::uint64_t aIncarnation,
                       std::uint64_t aUnused,
@@ -50,7 +51,7 @@
   {
     std::uint64_t mUsed = 0;
     std::uint64_t mAllowed = 0;
-    /** Of the update that last carried an allowance. */
+    /** Sequence number of the last update that carried an allowance. */
     std::uint64_t mSequence = 0;
   };
 
--- a/include/peridotspool/rollout/LogHistogram.h
+++ b/include/peridotspool/rollout/LogHistogram.h
@@ -4,24 +4,28 @@
 
 namespace peridotspool::rollout {
 
-/** The class of a positive figure; four classes double it. */
+/**
+ * Returns the bucket of a positive value. Buckets are logarithmic, with four
+ * per doubling.
+ */
 std::uint32_t
 HistogramBucket(double aValue);
 
-/** Classes between a figure and aRatio of it. */
+/**
+ * Returns the number of buckets between a value and aRatio times that value.
+ */
 std::uint32_t
 BucketsForRatio(double aRatio);
 
-/** The largest figure of a class. */
+/** Returns the upper bound of a bucket. */
 double
 BucketUpperBound(std::uint32_t aBucket);
 
-/** The class that so large a part of the figures doesn't exceed; 0 without any.
- */
+/** Returns the bucket of the aShare quantile; 0 without values. */
 std::uint32_t
 QuantileBucket(const BucketCounts& aCounts, double aShare);
 
-/** How many figures there are, and how many are above a class. */
+/** Return the number of all values, and the number of values above a bucket. */
 std::uint64_t
 TotalCount(const BucketCounts& aCounts);
 std::uint64_t
--- a/include/peridotspool/rollout/Rollout.h
+++ b/include/peridotspool/rollout/Rollout.h
@@ -26,9 +26,9 @@
 {
   ServiceName mService;
   VersionName mTo;
-  /** By when it is to be completed or rolled back. */
+  /** Time within which the rollout must be completed or rolled back. */
   Duration mDuration{ 0 };
-  /** When it was ordered, in microseconds since 1970. */
+  /** When the order was given, in microseconds since 1970. */
   std::int64_t mOrderedMicros = 0;
 
   auto operator<=>(const RolloutOrder&) const = default;
@@ -37,18 +37,24 @@
                       (),
                       (mService, mTo, mDuration, mOrderedMicros))
 
-/** A rollout as the control log keeps it. */
+/** A rollout as recorded in the control log. */
 struct Rollout
 {
   RolloutId mId;
   RolloutOrder mOrder;
   RolloutState mState = RolloutState::kRunning;
-  /** When it ended, in microseconds since 1970, and why. */
+  /** When the rollout ended, in microseconds since 1970, and why. */
   std::int64_t mEndedMicros = 0;
   std::string mReason;
-  /** Requests that leaders may have allowed the new version so far. */
+  /**
+   * Maximum number of requests that leaders may have granted to the new version
+   * so far.
+   */
   std::uint64_t mReserved = 0;
-  /** The new version's share that a leader found it fit for, in thousandths. */
+  /**
+   * The new version's share of traffic that a leader has approved, in
+   * thousandths.
+   */
   std::uint32_t mShare = 0;
 
   bool IsRunning() const { return mState == RolloutState::kRunning; }
@@ -59,11 +65,11 @@
   (),
   (mId, mOrder, mState, mEndedMicros, mReason, mReserved, mShare))
 
-/** How an order was judged. */
+/** Result of an order. */
 enum class OrderVerdict
 {
   kStarted,
-  /** The same order is known already; nothing was changed. */
+  /** The same order has been accepted before; nothing was changed. */
   kRepeated,
   /** Another version is being rolled out for the service. */
   kBusy,
@@ -72,7 +78,7 @@
 };
 BOOST_DESCRIBE_ENUM(OrderVerdict, kStarted, kRepeated, kBusy, kInForce)
 
-/** Ends a rollout; of the leader, or of an operator who aborts it. */
+/** Ends a rollout, on behalf of the leader or of an operator who aborts it. */
 struct RolloutEnd
 {
   RolloutId mId;
@@ -84,7 +90,7 @@
 };
 BOOST_DESCRIBE_STRUCT(RolloutEnd, (), (mId, mState, mEndedMicros, mReason))
 
-/** Takes a rollout further; what is lower than before changes nothing. */
+/** Advances a rollout; values below the current ones have no effect. */
 struct RolloutAdvance
 {
   RolloutId mId;
--- a/include/peridotspool/rollout/RolloutController.h
+++ b/include/peridotspool/rollout/RolloutController.h
@@ -18,39 +18,44 @@
 
 struct RolloutOptions
 {
-  /** Of all requests to a service, a bad version gets at most this part... */
+  /** Maximum share of a service's requests that a bad version receives... */
   double mMaxExposureShare = 0.1;
-  /** ...and so many besides. */
+  /** ...plus this number of requests. */
   double mExposureSlack = 50.0;
-  /** Shares and allowances of entries run out after this long. */
+  /** Shares and allowances of entries expire after this time. */
   Duration mLease = std::chrono::seconds(2);
-  /** A new leader hears all entries for this long before it decides. */
+  /**
+   * A new leader collects reports from all entries for this long before it
+   * decides.
+   */
   Duration mObservationPeriod = std::chrono::milliseconds(700);
-  /** A change that wasn't committed is proposed again after this long. */
+  /** A change that was not committed is proposed again after this time. */
   Duration mProposalRetryInterval = std::chrono::milliseconds(500);
 };
 
 enum class RolloutStage
 {
-  /** The new version gets few requests, to be judged by. */
+  /** The new version gets few requests, by which it is evaluated. */
   kWatching,
-  /** Its share rises. */
+  /** The new version's share of traffic increases. */
   kShifting,
-  /** It gets all; the old one finishes what it runs. */
+  /**
+   * The new version gets all requests; the old one finishes its running ones.
+   */
   kDraining,
-  /** It was found bad and gets nothing any more. */
+  /** The new version was found bad and gets no more requests. */
   kStopped,
 };
 BOOST_DESCRIBE_ENUM(RolloutStage, kWatching, kShifting, kDraining, kStopped)
 
-/** Ready upstreams of a service that a rollout runs for. */
+/** Numbers of ready upstreams of a service by version during a rollout. */
 struct VersionPools
 {
   std::uint32_t mOld = 0;
   std::uint32_t mNew = 0;
 };
 
-/** What a decision was made from, for the log. */
+/** The inputs of a decision, for the log. */
 struct RolloutNotice
 {
   RolloutId mRollout;
@@ -71,17 +76,17 @@
 
 struct RolloutStep
 {
-  /** To be committed; each comes again until it is. */
+  /** Changes to commit; each is proposed again until it is committed. */
   std::vector<RolloutChange> mChanges;
   std::vector<RolloutNotice> mNotices;
 };
 
 /**
- * The control leader's part in rollouts: it lets entries try the new version on
- * few requests, judges it by their answers, moves all traffic to it in steps,
- * and completes the rollout, or rolls it back.
+ * The control leader's part of rollouts. It lets entries try the new version on
+ * few requests, evaluates it by the responses, moves all traffic to it in
+ * steps, and completes the rollout or rolls it back.
  *
- * A pure step; not thread-safe.
+ * A state machine without clock, threads or sockets; not thread-safe.
  */
 class RolloutController
 {
@@ -94,12 +99,14 @@
   void HandleReport(const RolloutReport& aReport,
                     std::uint64_t aTerm,
                     TimePoint aNow);
-  /** Follows the committed table; aMicros is the time of day. */
+  /**
+   * Advances all rollouts of the committed table; aMicros is the time of day.
+   */
   RolloutStep Step(const RolloutTable& aTable,
                    const std::map<ServiceName, VersionPools>& aPools,
                    std::int64_t aMicros,
                    TimePoint aNow);
-  /** What to tell an entry whose process has this incarnation. */
+  /** Returns the update for the entry with this process incarnation. */
   RolloutUpdate UpdateFor(std::uint64_t aIncarnation,
                           const RolloutTable& aTable,
                           std::uint64_t aTerm);
@@ -131,10 +138,10 @@
     std::string mReason;
     std::optional<TimePoint> mProposedAt;
     std::unordered_map<std::uint64_t, Progress> mProgress;
-    /** What all entries together have seen, put together now and then. */
+    /** Answers reported by all entries, merged at intervals. */
     AnswersByRoute mAnswers;
     TimePoint mMergedAt;
-    /** Answers as they were some time ago, the oldest first. */
+    /** Earlier snapshots of mAnswers, oldest first. */
     std::deque<std::pair<TimePoint, AnswersByRoute>> mHistory;
   };
 
--- a/include/peridotspool/rollout/RolloutGate.h
+++ b/include/peridotspool/rollout/RolloutGate.h
@@ -14,7 +14,7 @@
 
 namespace peridotspool::rollout {
 
-/** Which upstreams a request may be sent to, and why. */
+/** The upstreams that a request may be sent to, and why. */
 struct VersionChoice
 {
   VersionFilter mFilter;
@@ -22,7 +22,7 @@
   const char* mReason = "any version";
 };
 
-/** Upstreams of a service by version, as an entry knows them. */
+/** Numbers of ready upstreams of a service by version, as known to an entry. */
 using ReadyByVersion = std::map<VersionName, std::size_t>;
 
 /** One answer of an upstream. */
@@ -33,58 +33,68 @@
   UpstreamName mUpstream;
   std::string mRoute;
   bool mFailed = false;
-  /** Of a whole answer, or between two events; unset where it shows nothing. */
+  /**
+   * Time of a whole answer, or between two events of a stream; unset if not
+   * meaningful.
+   */
   std::optional<Duration> mPace;
-  /** To the first event, as a part of what reading the prompt takes. */
+  /** Time to the first event, relative to the time to prefill the prompt. */
   std::optional<double> mFirstEvent;
-  /** Of the whole answer. */
+  /** Time of the whole answer. */
   Duration mTotalTime{ 0 };
 };
 
 /**
- * An entry's part in rollouts: which versions of a service its requests may go
- * to, how many of them to a new one, and what became of them.
+ * An entry's part of rollouts: decides which versions of a service its requests
+ * may go to and how many of them to a new version, and counts the results.
  *
- * What an entry isn't told it doesn't allow: its part for a new version is a
- * lease, and an upstream of a version that no rollout names gets nothing as
- * long as there are upstreams of versions that were there before.
+ * The entry fails closed. Its share of a new version is a lease, and upstreams
+ * of a version that no rollout names get no requests while upstreams of the
+ * earlier versions are ready.
  *
- * A pure step; not thread-safe.
+ * A state machine without clock, threads or sockets; not thread-safe.
  */
 class RolloutGate
 {
 public:
   void ApplyUpdate(const RolloutUpdate& aUpdate, TimePoint aNow);
-  /** An update has come: what rollouts there are is known. */
+  /**
+   * Returns true iff an update has arrived, so the current rollouts are known.
+   */
   bool HasUpdate() const { return mNumber != 0; }
   std::uint64_t Number() const { return mNumber; }
 
   /**
-   * Says where the first send of a request may go; aSeed differs for each.
-   * Counts against the entry's allowance where it is for the new version.
+   * Returns where the first attempt of a request may go; aSeed differs for each
+   * request. Uses one request of the entry's allowance if that is the new
+   * version.
    */
   VersionChoice ChooseFirst(const ServiceName& aService,
                             const std::string& aRoute,
                             std::uint64_t aSeed,
                             const ReadyByVersion& aReady,
                             TimePoint aNow);
-  /** Says where a request may be repeated. */
+  /** Returns where a retry of a request may go. */
   VersionChoice ChooseRetry(const ServiceName& aService,
                             const ReadyByVersion& aReady,
                             TimePoint aNow);
-  /** A request was sent to an upstream of the service, for the first time. */
+  /** Records the first attempt of a request to an upstream of the service. */
   void RecordSent(const ServiceName& aService);
-  /** Also of one that lasts longer than its caller waits. */
+  /**
+   * Records an answer, including one that ends after its caller stopped
+   * waiting.
+   */
   void RecordAnswer(const VersionAnswer& aAnswer);
   /** Returns true iff a rollout to that version is running. */
   bool IsRollingOut(const ServiceName& aService,
                     const VersionName& aVersion) const;
-  /** Returns true iff a rollout runs, for any service. */
+  /** Returns true iff a rollout is running for any service. */
   bool HasRunning() const;
 
   /**
-   * What to tell the control replicas; aOldRunning says how many requests are
-   * at upstreams of a service that run another version than the one named.
+   * Returns the report to the control replicas. aOldRunning returns the number
+   * of requests running at a service's upstreams of any version but the given
+   * one.
    */
   RolloutReport Report(
     std::uint64_t aIncarnation,
@@ -98,11 +108,11 @@
     RolloutShare mShare;
     std::uint64_t mRequests = 0;
     std::uint64_t mUsed = 0;
-    /** When the last allowance was given or used. */
+    /** When the last allowance was granted or used. */
     TimePoint mUnusedSince;
     std::uint64_t mChoices = 0;
     std::map<std::string, std::uint64_t> mChoicesByRoute;
-    /** By route and, for the new version, upstream. */
+    /** By route and, for the new version, by upstream. */
     std::map<std::pair<std::string, UpstreamName>, AnswerTally> mTallies;
   };
 
--- a/include/peridotspool/rollout/RolloutMessage.h
+++ b/include/peridotspool/rollout/RolloutMessage.h
@@ -8,23 +8,28 @@
 
 namespace peridotspool::rollout {
 
-/** How often a figure fell into each class of a logarithmic scale. */
+/** Counts of values by bucket of a logarithmic histogram. */
 using BucketCounts = std::map<std::uint32_t, std::uint64_t>;
 
-/** What one entry saw of the answers of one route. */
+/** Answers of one route as counted by one entry. */
 struct AnswerTally
 {
   std::string mRoute;
-  /** Of the new version; unset: all upstreams of the old one together. */
+  /**
+   * Upstream of the new version; unset for all upstreams of the old version
+   * together.
+   */
   UpstreamName mUpstream;
   std::uint64_t mAnswers = 0;
   std::uint64_t mFailed = 0;
   /** Milliseconds of an answer, or between two events of a stream. */
   BucketCounts mPace;
-  /** Time to a stream's first event, in hundredths of what reading its whole
-   * prompt takes. */
+  /**
+   * Time to a stream's first event, in hundredths of the time to prefill its
+   * whole prompt.
+   */
   BucketCounts mFirstEvent;
-  /** Milliseconds of whole answers, streams included. */
+  /** Milliseconds of whole answers, including streams. */
   BucketCounts mTotalTime;
 
   auto operator<=>(const AnswerTally&) const = default;
@@ -34,7 +39,10 @@
   (),
   (mRoute, mUpstream, mAnswers, mFailed, mPace, mFirstEvent, mTotalTime))
 
-/** An entry's part in a rollout that runs, counted since it heard of it. */
+/**
+ * An entry's progress in a running rollout, counted since it learned of the
+ * rollout.
+ */
 struct RolloutProgress
 {
   RolloutId mRollout;
@@ -42,11 +50,13 @@
   std::uint64_t mRequests = 0;
   /** Requests that it has sent to the new version under an allowance. */
   std::uint64_t mUsed = 0;
-  /** Up to how many it may; mUsed once its lease has run out. */
+  /**
+   * Upper bound of mUsed; equal to mUsed once the entry's lease has expired.
+   */
   std::uint64_t mAllowed = 0;
-  /** The new version's share in force here, in thousandths. */
+  /** The new version's share in force at this entry, in thousandths. */
   std::uint32_t mShare = 0;
-  /** Requests that it has at upstreams of the old version. */
+  /** Requests that it has running at upstreams of the old version. */
   std::uint64_t mOldRunning = 0;
   std::vector<AnswerTally> mTallies;
 
@@ -57,12 +67,12 @@
   (),
   (mRollout, mRequests, mUsed, mAllowed, mShare, mOldRunning, mTallies))
 
-/** From an entry to the control replicas; replaces its last one. */
+/** Sent by an entry to the control replicas; replaces its previous report. */
 struct RolloutReport
 {
-  /** Names one life of the entry's process. */
+  /** Identifies one incarnation of the entry's process. */
   std::uint64_t mLife = 0;
-  /** The last update from the leader that it has taken. */
+  /** The last update from the leader that the entry has applied. */
   std::uint64_t mTerm = 0;
   std::uint64_t mSequence = 0;
   std::vector<RolloutProgress> mProgress;
@@ -71,14 +81,17 @@
 };
 BOOST_DESCRIBE_STRUCT(RolloutReport, (), (mLife, mTerm, mSequence, mProgress))
 
-/** A rollout that runs, as an entry is to work by it. */
+/** The parameters by which an entry takes part in a running rollout. */
 struct RolloutShare
 {
   RolloutId mRollout;
   VersionName mTo;
-  /** Of each thousand requests so many go to the new version. */
+  /** Share of requests that go to the new version, in thousandths. */
   std::uint32_t mShare = 0;
-  /** Besides, the entry may send it so many in all. */
+  /**
+   * Total number of requests that the entry may send to the new version
+   * besides.
+   */
   std::uint64_t mAllowed = 0;
 
   auto operator<=>(const RolloutShare&) const = default;
@@ -89,7 +102,7 @@
 struct ServiceVersions
 {
   ServiceName mService;
-  /** If set, no other but that of a running rollout. */
+  /** If set, only this version and that of a running rollout get requests. */
   VersionName mCurrent;
   std::vector<VersionName> mRolledBack;
   std::optional<RolloutShare> mRunning;
@@ -100,15 +113,15 @@
                       (),
                       (mService, mCurrent, mRolledBack, mRunning))
 
-/** From the leader to an entry; replaces what it was told before. */
+/** Sent by the leader to an entry; replaces the previous update. */
 struct RolloutUpdate
 {
   std::uint64_t mTerm = 0;
-  /** Rises with each update of a leader to an entry. */
+  /** Increases with each update from a leader to an entry. */
   std::uint64_t mSequence = 0;
-  /** Of the table that this was made from. */
+  /** Number of the rollout table that the update was made from. */
   std::uint64_t mNumber = 0;
-  /** Shares and allowances hold for this long. */
+  /** How long shares and allowances are valid. */
   Duration mLease{ 0 };
   std::vector<ServiceVersions> mServices;
 
--- a/include/peridotspool/rollout/SequentialTest.h
+++ b/include/peridotspool/rollout/SequentialTest.h
@@ -5,7 +5,7 @@
 
 namespace peridotspool::rollout {
 
-/** Bad ones among a number of answers. */
+/** A number of answers and how many of them were bad. */
 struct AnswerCounts
 {
   std::uint64_t mAnswers = 0;
@@ -13,10 +13,10 @@
 };
 
 /**
- * The evidence that a share of bad answers is above aTolerated: the logarithm
- * of a likelihood ratio, mixed over all larger shares. Where the true share is
- * at most aTolerated, it ever exceeds log(1 / a) with a probability of at most
- * a, however often it is looked at (Ville's inequality).
+ * Returns the evidence that the share of bad answers is above aTolerated: the
+ * logarithm of a likelihood ratio, mixed over all larger shares. If the true
+ * share is at most aTolerated, the probability that the evidence ever exceeds
+ * log(1 / a) is at most a, however often it is evaluated (Ville's inequality).
  *
  * @param aTolerated above 0 and below 1
  */
@@ -24,10 +24,10 @@
 LogEvidence(const AnswerCounts& aCounts, double aTolerated);
 
 /**
- * The share of bad answers that a new version may have beside an old one with
- * these counts, of which it may be several ratio: the old one's upper bound is
- * taken. At least aMin. Upstreams differ, so an average over few of them may
- * be further from the old version's than one over many.
+ * Returns the tolerated share of bad answers of a new version, given the counts
+ * of the old one: a multiple of the upper bound of the old version's share, and
+ * at least aMin. Upstreams differ, so an average over few new upstreams may
+ * deviate more from the old version's than one over many.
  */
 double
 ToleratedShare(const AnswerCounts& aOld,
--- a/include/peridotspool/rollout/VersionComparison.h
+++ b/include/peridotspool/rollout/VersionComparison.h
@@ -18,7 +18,7 @@
 
 using AnswersByRoute = std::map<std::string, RouteAnswers>;
 
-/** What is compared between the versions. */
+/** The metrics that are compared between the versions. */
 enum class ComparedMetric
 {
   kFailures,
@@ -27,7 +27,7 @@
 };
 BOOST_DESCRIBE_ENUM(ComparedMetric, kFailures, kPace, kFirstEvent)
 
-/** The strongest ground there is against a new version. */
+/** The strongest evidence against a new version. */
 struct VersionEvidence
 {
   /** "all" for all routes together. */
@@ -36,12 +36,15 @@
   AnswerCounts mNew;
   AnswerCounts mOld;
   double mTolerated = 0.0;
-  /** The version is bad iff the first reaches the second. */
+  /** The version is bad iff mLogEvidence reaches mThreshold. */
   double mLogEvidence = 0.0;
   double mThreshold = 0.0;
 
   bool IsBad() const { return mLogEvidence >= mThreshold; }
-  /** More answers are to be seen before the version gets a larger share. */
+  /**
+   * Returns true iff more answers are needed before the version gets a larger
+   * share.
+   */
   bool IsDoubtful() const { return mLogEvidence >= mThreshold / 2; }
 };
 
@@ -49,24 +52,26 @@
 ToText(const VersionEvidence& aEvidence);
 
 /**
- * Compares a new version with the old one over the same time, route by route
- * and over all of them: failures, the pace of answers, and the time to the
- * first event. A figure is bad where it is several times the old version's
- * median. The worst of the new version's upstreams may have a fault of its own:
- * it counts as no worse than the others. Returns empty where there is nothing
- * to compare.
+ * Compares a new version with the old one over the same time, for each route
+ * and for all routes together: failures, the time of answers, and the time to
+ * the first event. A value is bad if it is several times the old version's
+ * median. The worst upstream of the new version may be faulty itself, so it
+ * counts as no worse than the others. Returns empty if there is nothing to
+ * compare.
  *
- * @param aSpans spans of time that are judged one by one; the chance of a false
- *   alarm is shared out among them
+ * @param aSpans number of time spans evaluated one by one; the false positive
+ * rate is divided among them
  */
 std::optional<VersionEvidence>
 CompareVersions(const AnswersByRoute& aAnswers, double aSpans = 1.0);
 
-/** Adds one tally to another one. */
+/** Adds the counts of one tally to another. */
 void
 AddTally(AnswerTally& aTo, const AnswerTally& aFrom);
 
-/** What came after aBefore; what is fewer than before counts as none. */
+/**
+ * Returns the counts added since aBefore; counts that have decreased become 0.
+ */
 AnswersByRoute
 Since(const AnswersByRoute& aNow, const AnswersByRoute& aBefore);
 
--- a/include/peridotspool/rollout/VersionFilter.h
+++ b/include/peridotspool/rollout/VersionFilter.h
@@ -10,13 +10,15 @@
 
 namespace peridotspool::rollout {
 
-/** Which versions' upstreams a request may be sent to. */
+/** Selects the versions whose upstreams a request may be sent to. */
 struct VersionFilter
 {
-  /** If set, this one alone. */
+  /** If set, only this version is allowed. */
   std::optional<VersionName> mOnly;
   std::vector<VersionName> mExcept;
-  /** If not 0, the choice is among so many of the upstreams that fit. */
+  /**
+   * If not 0, the request goes to one of this many of the matching upstreams.
+   */
   std::size_t mMaxUpstreams = 0;
 
   bool Allows(const VersionName& aVersion) const
--- a/src/fleet/FleetChoice.cpp
+++ b/src/fleet/FleetChoice.cpp
@@ -1,4 +1,4 @@
-// Which instances the planner starts and drains.
+// Selects the instances that the planner starts and drains.
 
 #include "peridotspool/fleet/FleetPlanner.h"
 
@@ -7,11 +7,11 @@
 
 namespace peridotspool::fleet {
 
-// A wave of reclaims leaves many instances missing at once, while the cloud
-// refuses starts. Asking for all of them in every round would be a storm that
-// the cloud answers with throttling. So each missing instance has one start
-// under way, all together are bounded, a refused offer is left alone for longer
-// each time, and the service that is neediest goes first.
+// When the cloud reclaims many instances at once, it also refuses starts.
+// Requesting all missing instances in every round would make the cloud throttle
+// all calls. Therefore each missing instance has one pending start, the total
+// is bounded, refused offers back off exponentially, and the service with the
+// largest shortage goes first.
 void
 FleetPlanner::StartMissing()
 {
@@ -62,7 +62,9 @@
   return true;
 }
 
-/** Instances that count: there and not leaving, or being started. */
+/**
+ * Counts the service's instances that are not leaving, and its pending starts.
+ */
 std::size_t
 FleetPlanner::CountInstances(const ServiceName& aService) const
 {
@@ -106,8 +108,8 @@
   return static_cast<double>(count + 1) <= std::max(1.0, maxCount);
 }
 
-// An offer that was refused is tried with one start first; all the missing ones
-// at once would be refused together again.
+// A refused offer is probed with a single start first. Requesting all missing
+// instances at once would have all of them refused again.
 bool
 FleetPlanner::MayTry(const OfferKey& aOffer) const
 {
@@ -128,7 +130,8 @@
     if (offer.mKey.mClass != aService.mDemand.mClass || !MayTry(offer.mKey)) {
       continue;
     }
-    // Too many in one domain is better than too few at all.
+    // Exceeding the share of one domain is better than having too few
+    // instances.
     const bool fits = FitsDomainShare(aService, offer.mKey);
     const bool better =
       best == nullptr || (fits && !bestFits) ||
@@ -141,7 +144,9 @@
   return best;
 }
 
-/** What an instance of this offer costs the service in an hour, all told. */
+/**
+ * Returns the total cost to the service of an instance of this offer, per hour.
+ */
 double
 FleetPlanner::Score(const Service& aService, const Offer& aOffer) const
 {
@@ -170,9 +175,10 @@
   return offer == mOffers.end() ? 0.0 : offer->mPricePerHour;
 }
 
-// Instances come back after a wave, and the replacements are there too. The
-// costliest is drained, one at a time, and only after the surplus has lasted:
-// what was just bought isn't sold again when the next wave comes.
+// After a wave of reclaims, reclaimed instances return while their replacements
+// are running too. The most expensive instance is drained, one at a time, and
+// only after the surplus has lasted. Otherwise new instances would be released
+// just before the next wave needs them.
 void
 FleetPlanner::DrainSurplus(Service& aService)
 {
--- a/src/fleet/FleetPlanner.cpp
+++ b/src/fleet/FleetPlanner.cpp
@@ -67,7 +67,7 @@
         known->second.mState == InstanceState::kLeaving) {
       instance.mState = InstanceState::kLeaving;
     }
-    // The answer to a start was lost, but the instance is there.
+    // The instance is listed, so the response to its start was lost.
     mStarts.erase(info.mStart);
     mUnlisted.erase(info.mName);
   }
@@ -80,8 +80,8 @@
   mListed = true;
 }
 
-// The list may be older than a start's answer: forgetting the new instance
-// would buy it a second time.
+// The list may be older than the response to a start. Dropping the new instance
+// would start it a second time.
 void
 FleetPlanner::HandleUnlisted(const InstanceInfo& aInstance,
                              std::map<InstanceName, InstanceInfo>& aListed)
@@ -166,7 +166,7 @@
   if (instance == mInstances.end()) {
     return;
   }
-  // Taken without a notice that was heard.
+  // The instance was reclaimed and its notice was lost.
   if (instance->second.mState != InstanceState::kLeaving) {
     mRecord.RecordReclaim(instance->second.mOffer, mNow);
   }
@@ -183,9 +183,9 @@
   }
 }
 
-// One bad report neither buys nor sells: the service must have been too slow,
-// or far too fast, for a while. The distance between the two keeps it from
-// going back and forth.
+// A single report neither adds nor removes an instance: latency must have been
+// above the target, or below half of it, for a while. The gap between the two
+// thresholds prevents oscillation.
 void
 FleetPlanner::Take(const LatencyEvent& aEvent)
 {
@@ -222,8 +222,9 @@
 {
   RecordUse();
   ExpireStarts();
-  // Without the cloud's list, instances of an earlier leader would be bought a
-  // second time; before mActAfter that leader may still be buying.
+  // Without the cloud's list, the instances of an earlier leader would be
+  // started a second time. Before mActAfter that leader may still be starting
+  // some.
   if (!mListed || mNow < mOptions.mActAfter) {
     return;
   }
--- a/src/fleet/LeaderTaskManager.cpp
+++ b/src/fleet/LeaderTaskManager.cpp
@@ -8,17 +8,17 @@
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kConflict = 409;
-/** An entry that did not report for this long has nothing running. */
+/** An entry that has not reported for this long counts as idle. */
 constexpr Duration kMaxLoadAge = std::chrono::milliseconds(1500);
 constexpr Duration kProposalRetryInterval = std::chrono::seconds(1);
-/** Windows this much older than due are not told any more. */
+/** Windows are no longer reported when they are overdue by more than this. */
 constexpr std::int64_t kMaxLateMicros = 5000000;
 
 } // namespace
 
 LeaderTaskManager::LeaderTaskManager(LeaderTaskOptions aOptions)
   : mOptions(aOptions)
-  // The rest is for telling it, and telling it again.
+  // The remaining time is for sending the report and retrying it.
   , mUsage(aOptions.mUsageWindow, aOptions.mUsageDueAfter * 4 / 10)
 {
 }
@@ -66,10 +66,11 @@
   }
 }
 
-// An earlier holder may have acted right before it lost its lease, and may be
-// in charge again right after this one. With a wait of more than half of the
-// lease before the first act, it takes longer than a lease from its last act to
-// its next one, so no two holders take turns within a lease.
+// An earlier leader may have acted just before it lost its lease and may lead
+// again right after this one. Each leader waits for more than half of the lease
+// before its first action, so more than a lease passes between the earlier
+// leader's last action and its next one. Therefore no two leaders act
+// alternately within one lease.
 bool
 LeaderTaskManager::MayAct(const LeaderTaskView& aView, TimePoint aNow) const
 {
@@ -115,9 +116,9 @@
   return { .mNumber = number, .mCall = std::move(aCall), .mFence = aFence };
 }
 
-// Counts are committed before they leave: a later holder that added the reports
-// up anew could get other numbers, and would tell the cloud two different
-// things about one window. What is committed is told again word for word.
+// Counts are committed before they are sent. A later leader that summed up the
+// reports again could get other numbers and would report two different results
+// for one window. Committed counts are sent again unchanged.
 void
 LeaderTaskManager::DeliverUsage(const LeaderTaskView& aView,
                                 TimePoint aNow,
--- a/src/fleet/OfferBackoff.cpp
+++ b/src/fleet/OfferBackoff.cpp
@@ -17,7 +17,8 @@
 OfferBackoff::RecordRefusal(const OfferKey& aOffer, TimePoint aNow)
 {
   Entry& entry = mEntries[aOffer];
-  // Several starts of one offer are refused together; they count once.
+  // Several pending starts of one offer are refused together and count as one
+  // refusal.
   if (aNow < entry.mUntil) {
     return;
   }
--- a/src/fleet/OrderDispatcher.cpp
+++ b/src/fleet/OrderDispatcher.cpp
@@ -8,7 +8,7 @@
 Duration
 OrderDispatcherOptions::EarlierOrderTimeout() const
 {
-  // The earlier leader's clock may be slow and this one's fast.
+  // The earlier leader's clock may run slow and this one's fast.
   const double rate = (1.0 + mClockRateBound) / (1.0 - mClockRateBound);
   const Duration all = mLease + mMaxSendDelay + mMaxOrderDuration;
   return Duration(
@@ -37,7 +37,8 @@
     return;
   }
   if (aEvent.mIncarnation > engine.mIncarnation) {
-    // A new life has an unknown setup, and knows nothing of earlier orders.
+    // A new incarnation has an unknown setup and no knowledge of earlier
+    // orders.
     if (engine.mOrder) {
       mOrders.erase(*engine.mOrder);
     }
@@ -77,7 +78,8 @@
 OrderDispatcher::Take(const SetupReadEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
-  // An answer from before the last order ended tells of a setup that is gone.
+  // A response to a query sent before the last order ended describes an
+  // outdated setup.
   if (engine != mEngines.end() && aEvent.mRead.IsSet() &&
       aEvent.mRead == engine->second.mRead) {
     engine->second.mSetup = aEvent.mSetup;
@@ -121,11 +123,11 @@
   }
 }
 
-// An engine that ignores fencing numbers obeys whoever speaks last. An order
-// that an earlier leader sent at the end of its lease could arrive or end after
-// this leader's order, and undo it unnoticed. Waiting for its longest life is
-// the only way to know that it is over. An engine that checks the numbers
-// refuses the earlier leader by itself.
+// An engine that ignores fencing numbers carries out whichever order arrives
+// last. An order that an earlier leader sent at the end of its lease could
+// arrive or end after this leader's order and undo it unnoticed. The only safe
+// way is to wait for the maximum duration of such an order. An engine that
+// checks fencing numbers rejects the earlier leader itself.
 bool
 OrderDispatcher::MayOrder(const Engine& aEngine) const
 {
@@ -185,9 +187,9 @@
   }
 }
 
-// If every engine fetched its model at once, the weight store would throttle
-// them all, and none would be ready soon. Loads are asked for at the rate that
-// the store gives, so that the most urgent one is done first.
+// If every engine fetched its model at once, they would share the weight
+// store's bandwidth and none would be ready soon. Loads are requested at the
+// store's rate, so the most urgent one finishes first.
 bool
 OrderDispatcher::ReserveStoreBandwidth(const Engine& aEngine)
 {
@@ -230,7 +232,7 @@
     return;
   }
   Engine& engine = mEngines[order->second.mEngine];
-  // Done or not, only the engine itself knows what it is now.
+  // Whatever the outcome, only the engine knows its current setup.
   engine.mOrder.reset();
   engine.mSetup.reset();
   engine.mRead = ReadNumber();
--- a/src/fleet/PoolPlanner.cpp
+++ b/src/fleet/PoolPlanner.cpp
@@ -14,12 +14,16 @@
   return discovered == aView.mReady.end() ? 0 : discovered->second;
 }
 
-/** Reclaimable upstreams that stand in for a onDemand one before any load. */
+/**
+ * Maximum number of reclaimable upstreams that replace an on-demand one before
+ * any load.
+ */
 constexpr double kMaxReclaimablePerOnDemand = 2.0;
 
-// Reclaimable upstreams start with empty caches and have to read each prefix
-// once, and those of a whole domain may be reclaimed at any time. They never
-// cost more than the onDemand ones that they replace.
+// Reclaimable upstreams start with empty caches and have to prefill each prefix
+// once, and all those of a domain may be reclaimed at any time. Therefore more
+// than one replaces an on-demand upstream, but together they never cost more
+// than it.
 double
 ReclaimablePerOnDemand(const gateway::ScalingProfile& aScaling)
 {
@@ -46,22 +50,22 @@
 {
 }
 
-// A new holder of the duty hears of running upstreams one by one, as they send
-// their heartbeats. Orders for the few that it knew at first took the others
-// away: of 90 upstreams 25 were left when the first requests came, and a
-// quarter to a third of the first six seconds' worth was lost (PoolPlannerTest
-// has the case).
+// A new leader discovers running upstreams one by one from their heartbeats.
+// Ordering only as many as were known at first released the others: of 90
+// upstreams 25 were left when the first requests arrived, and a quarter to a
+// third of the value of the first six seconds was lost (PoolPlannerTest covers
+// this case).
 bool
 PoolPlanner::IsObserving(TimePoint aNow) const
 {
   return !mLoadSeen && aNow - *mPlanningSince < mOptions.mObservationPeriod;
 }
 
-// Upstreams are heard over several heartbeats, and with many control replicas
-// some of these have no place in the group for seconds: of 140 upstreams 95
-// were heard within 1.5 s. What was ordered here is no ground to order more:
-// reclaimable ones that come later than a start takes, and onDemand ones once
-// any were ordered.
+// Upstreams are discovered over several heartbeats, and with many control
+// replicas some of those are not yet members of the group for seconds: of 140
+// upstreams 95 were discovered within 1.5 s. Upstreams that this planner
+// ordered must not raise the count, so reclaimable ones are ignored once a
+// start could have completed, and on-demand ones once any were ordered.
 void
 PoolPlanner::RecordDiscovered(const gateway::ScalingProfile& aScaling,
                               const PoolView& aView,
@@ -87,7 +91,7 @@
   auto wanted =
     std::max(mOptions.mMinUpstreams,
              static_cast<std::uint32_t>(std::min<double>(maxTotal, byLoad)));
-  // Before any load has been seen, what somebody else thought right stays.
+  // Until there is load, the pool keeps the size that was found.
   mLoadSeen = mLoadSeen || aView.mRunning >= 1.0;
   if (!mLoadSeen) {
     RecordDiscovered(*aService.mScaling, aView, aNow);
@@ -106,9 +110,10 @@
   return ShrinkTarget(wanted, aNow);
 }
 
-// Load varies faster than upstreams start and drain, and an upstream that is
-// given up takes its cache with it. Shrinking in steps shows the effect of each
-// step on the load, and nothing is given up while none could be had again.
+// Load varies faster than upstreams start and drain, and releasing an upstream
+// loses its cache. Shrinking in steps shows the effect of each step on the
+// load. Nothing is released during a capacity shortage, because it could not be
+// replaced.
 std::uint32_t
 PoolPlanner::ShrinkTarget(std::uint32_t aWanted, TimePoint aNow)
 {
@@ -139,8 +144,8 @@
   const auto refused = [&](const FailureDomain& aDomain, bool aReclaimable) {
     return mSlots[PoolKey{ aDomain, aReclaimable }].mRefusedUntil > aNow;
   };
-  // What is refused in one domain is spread over the others; what they have
-  // already stays.
+  // The share of a refused domain is spread over the others; its running
+  // upstreams are retained.
   std::vector<FailureDomain> open;
   std::uint32_t left = mWanted;
   for (const auto& [price, domain] : domains) {
@@ -168,9 +173,9 @@
   return mRefusedAt && aNow - *mRefusedAt < mOptions.mShortageHold;
 }
 
-// A start takes longer than the notice of a reclaim. While no reclaimable ones
-// can be had, the domain that has most of them therefore counts as lost, and
-// what is left has to carry the load.
+// A start takes longer than the notice of a reclaim. During a capacity
+// shortage, the domain with the most reclaimable upstreams therefore counts as
+// lost, and the remaining ones have to carry the load.
 std::uint32_t
 PoolPlanner::CurrentOnDemandNeed(const PoolView& aView, TimePoint aNow) const
 {
@@ -193,9 +198,10 @@
   return std::max(need, forLoad - std::min(forLoad, all - largest));
 }
 
-// Reclaims come in waves, one domain after the other, and for a while there are
-// none to be had anywhere. Lasting upstreams then carry the load; they are
-// given up only when reclaimable ones have stood in for them for a while.
+// Reclaims arrive in waves, one domain after another, and for a while no
+// reclaimable capacity is available anywhere. On-demand upstreams then carry
+// the load. They are released only after reclaimable ones have replaced them
+// for a while.
 std::uint32_t
 PoolPlanner::OnDemandNeed(const PoolView& aView, TimePoint aNow)
 {
@@ -205,8 +211,9 @@
     mOnDemandNeededAt = aNow;
   } else if (!mLoadSeen ||
              aNow - mOnDemandNeededAt >= mOptions.mMinOnDemandTime) {
-    // Before any load there are no waves: what was discovered running goes as
-    // soon as reclaimable ones are ready in its place.
+    // Before any load there are no waves of reclaims, so on-demand upstreams
+    // that were found running are released as soon as reclaimable ones are
+    // ready in their place.
     mOnDemandNeed = need;
   }
   return mOnDemandNeed;
@@ -220,7 +227,7 @@
   std::uint32_t aMax,
   std::map<PoolKey, std::uint32_t>& aDesired)
 {
-  // Those that are there already stay first: a start takes seconds.
+  // Running upstreams are retained first, because a start takes seconds.
   for (const auto& [price, domain] : aDomains) {
     const PoolKey onDemand{ domain, false };
     aDesired[onDemand] = std::min(ReadyOf(aView, onDemand), aWanted);
--- a/src/fleet/ReclaimRecord.cpp
+++ b/src/fleet/ReclaimRecord.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** What is taken for granted of an offer that was never used. */
+/** Prior for an offer that was never used. */
 constexpr double kPriorReclaims = 0.2;
 constexpr double kPriorHours = 10.0;
 
--- a/src/fleet/UsageAggregator.cpp
+++ b/src/fleet/UsageAggregator.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/** Reports of a window's end have come this long after it. */
+/** Reports covering a window's end arrive within this time after it. */
 constexpr std::int64_t kSettleMicros = 1200000;
 constexpr std::size_t kMaxWindows = 12;
-/** A incarnation that did not report for this long has ended. */
+/** An incarnation that has not reported for this long has ended. */
 constexpr std::int64_t kIncarnationExpiryMicros = 20000000;
 
 } // namespace
@@ -36,8 +36,8 @@
   }
 }
 
-// An entry that is cut off goes on serving and reports when it is back; counts
-// that were settled without it could not be mended any more.
+// A partitioned entry continues to serve and reports when it reconnects. Counts
+// committed without it could not be corrected afterwards.
 bool
 UsageAggregator::HasAllReports(std::int64_t aEnd) const
 {
--- a/src/rollout/AllowanceAccount.cpp
+++ b/src/rollout/AllowanceAccount.cpp
@@ -4,8 +4,9 @@
 
 namespace peridotspool::rollout {
 
-// An entry whose newest update is known to have arrived says itself what it may
-// still use. Any other one may yet take what is under way to it.
+// If the entry has applied its newest update, its report states what it may
+// still use. Otherwise an update in flight may still reach it, so nothing is
+// reclaimed.
 void
 AllowanceAccount::RecordProgress(std::uint64_t aIncarnation,
                                  const RolloutProgress& aProgress,
--- a/src/rollout/RolloutController.cpp
+++ b/src/rollout/RolloutController.cpp
@@ -10,28 +10,35 @@
 
 namespace {
 
-/** Of the exposure that a bad version may have, what is used to watch it. The
- * rest is for what shows only while its share rises. */
+/**
+ * Shares of the exposure bound that are used while the new version is watched.
+ * The rest is for faults that show only while its share increases.
+ */
 constexpr double kWatchExposureShare = 0.8;
 constexpr double kWatchSlackShare = 0.6;
-/** Unused requests that an entry is allowed at a time. */
+/** Unused requests in an entry's allowance at any time. */
 constexpr std::uint64_t kUnusedPerEntry = 1;
-/** Reserved ahead of what is spent, in one change of the log. */
+/** Requests reserved in one change of the log, beyond those spent. */
 constexpr std::uint64_t kReserveAhead = 16;
-/** Answers of the new version by which it is judged, where there are as many
- * to be had. */
+/**
+ * Minimum number of answers by which the new version is evaluated, unless the
+ * traffic is too low for that.
+ */
 constexpr std::uint64_t kMinAnswers = 20;
 constexpr std::uint32_t kFullShare = 1000;
-/** The part of the old version's answers that a drain waits for. */
+/** The drain waits for this quantile of the old version's answer times. */
 constexpr double kDrainQuantile = 0.99;
 constexpr std::array<std::uint32_t, 2> kShiftShares = { 250, 500 };
-/** Entries report three times a second. */
+/**
+ * An entry without a report for this long is ignored. Entries report three
+ * times a second.
+ */
 constexpr Duration kEntryReportTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kMinDrainTime = std::chrono::milliseconds(700);
 
-/** A version that turns bad is judged by its answers of this span. */
+/** A version that turns bad is evaluated by its answers within this time. */
 constexpr Duration kRecentSpan = std::chrono::seconds(2);
-/** Putting the reports of hundreds of entries together takes milliseconds. */
+/** Merging the reports of hundreds of entries takes milliseconds. */
 constexpr Duration kMergeInterval = std::chrono::milliseconds(200);
 constexpr Duration kHistoryInterval = std::chrono::milliseconds(500);
 
@@ -99,8 +106,8 @@
   return answers;
 }
 
-// Where answers are short the old version is soon drained, and the new one can
-// be watched for longer.
+// If answers are short, the old version drains quickly, so the new one can be
+// watched for longer.
 void
 RolloutController::Reschedule(Run& aRun, const Rollout& aRollout)
 {
@@ -119,7 +126,8 @@
   aRun.mSchedule = ScheduleFor(aRollout.mOrder.mDuration, longest);
 }
 
-// Answers from before a version turned bad would hide those that came since.
+// Answers from before a version turned bad would mask the later ones, so the
+// recent answers are evaluated separately.
 std::optional<VersionEvidence>
 RolloutController::FindEvidence(Run& aRun, TimePoint aNow) const
 {
@@ -143,8 +151,9 @@
   return isStronger ? recent : overall;
 }
 
-// The leader before found the version fit for a share. Entries still work by it
-// or have gone back to the old version; either way it needn't be watched anew.
+// The previous leader approved the version for a share. Entries still apply
+// that share or have returned to the old version. In either case the version
+// need not be watched again.
 void
 RolloutController::Resume(Run& aRun, const Rollout& aRollout, TimePoint aNow)
 {
@@ -157,8 +166,8 @@
   aRun.mStageAt = aNow;
 }
 
-// With little traffic few answers are all that there will be; with none there
-// is nobody to be hurt.
+// With little traffic only few answers are available; without traffic no caller
+// can be affected.
 bool
 RolloutController::MayShift(const Run& aRun, const VersionPools& aPools) const
 {
@@ -254,7 +263,7 @@
     }
     return;
   }
-  // A shift that a change of leaders has delayed skips the steps that are left.
+  // A shift that was delayed by a change of leader skips its remaining steps.
   const bool isShort =
     elapsed + 2 * aRun.mSchedule.mStepFor >= aRun.mSchedule.mFinishBy;
   if (!isShort && aNow - aRun.mStageAt < aRun.mSchedule.mStepFor) {
--- a/src/rollout/RolloutGate.cpp
+++ b/src/rollout/RolloutGate.cpp
@@ -12,16 +12,24 @@
 namespace {
 
 constexpr std::uint32_t kFullShare = 1000;
-/** Share of the new version's upstreams that watched requests are sent to: few,
- * so that faults which need load show while the version gets few requests. */
+/**
+ * Share of the new version's upstreams that get requests while it is watched.
+ * The share is small so that faults which need load show although the version
+ * gets few requests.
+ */
 constexpr double kCanaryUpstreamShare = 0.15;
 constexpr std::size_t kMinCanaryUpstreams = 2;
-/** Probability of using an allowance for a request; it rises by as much with
- * each kUnusedInterval that the allowance stays unused. */
+/**
+ * Probability of using an allowance for a request. It increases by the same
+ * amount with each kUnusedInterval for which the allowance stays unused.
+ */
 constexpr double kCanaryProbability = 0.15;
 constexpr Duration kUnusedInterval = std::chrono::milliseconds(250);
 constexpr double kHundredths = 100.0;
-/** Routes with figures in a report; an operator may have hundreds. */
+/**
+ * Bounds the routes with statistics in a report; an operator may have hundreds
+ * of routes.
+ */
 constexpr std::size_t kMaxTallies = 256;
 
 double
@@ -97,8 +105,8 @@
   return found == mRuns.end() ? nullptr : &found->second;
 }
 
-// Upstreams of a new version may announce themselves before the order that they
-// belong to has arrived here.
+// Upstreams of a new version may register before this entry learns of the
+// rollout order.
 VersionChoice
 RolloutGate::ChooseWithoutRollout(const ServiceName& aService,
                                   const ReadyByVersion& aReady)
@@ -144,8 +152,8 @@
   return filter;
 }
 
-// Routes get equal numbers of requests to the new version, whatever their
-// traffic: a fault may be limited to a rarely used route.
+// Each route sends the same number of requests to the new version, whatever its
+// traffic, because a fault may be limited to a rarely used route.
 bool
 RolloutGate::IsSampled(const Run& aRun,
                        const std::string& aRoute,
@@ -220,8 +228,9 @@
   };
 }
 
-// At the end of the shift the old version's upstreams may stop at any moment;
-// an entry that has lost its lease then can't know whether they have.
+// At the end of the shift the old version's upstreams may stop at any moment.
+// An entry whose lease has expired then cannot know whether they have, so it
+// uses either version.
 VersionChoice
 RolloutGate::ChooseRetry(const ServiceName& aService,
                          const ReadyByVersion& aReady,
--- a/src/rollout/RolloutSchedule.cpp
+++ b/src/rollout/RolloutSchedule.cpp
@@ -10,7 +10,9 @@
 using std::chrono::seconds;
 
 constexpr int kShiftSteps = 2;
-/** Until the leader knows that nothing runs at the old version any more. */
+/**
+ * Time until the leader knows that no request is running at the old version.
+ */
 constexpr Duration kReportsAndUpdates = milliseconds(1000);
 
 } // namespace
@@ -20,7 +22,7 @@
 {
   const Duration margin =
     std::clamp<Duration>(aDuration / 12, milliseconds(500), seconds(2));
-  // A leader that is lost is replaced in the least time for a drain.
+  // The minimum drain time is long enough to replace a lost leader.
   const Duration drain = std::min(std::clamp(aLongest + kReportsAndUpdates,
                                              Duration(aDuration / 6),
                                              Duration(aDuration / 4)),
--- a/src/rollout/RolloutTable.cpp
+++ b/src/rollout/RolloutTable.cpp
@@ -8,8 +8,10 @@
 namespace {
 
 constexpr std::size_t kMaxRolloutsEach = 16;
-/** An order for a version that was rolled back is a resent one for this long,
- * and a new one later. */
+/**
+ * Within this time, a repeated order for a version that was rolled back counts
+ * as a resubmission; later it counts as a new order.
+ */
 constexpr std::chrono::microseconds kResubmissionWindow =
   std::chrono::seconds(20);
 
--- a/src/rollout/SequentialTest.cpp
+++ b/src/rollout/SequentialTest.cpp
@@ -8,11 +8,14 @@
 
 namespace {
 
-/** Points at which the mixture over larger shares is taken. */
+/** Number of points at which the mixture over larger shares is evaluated. */
 constexpr int kMixturePoints = 64;
 constexpr double kMaxTolerated = 0.5;
-/** How many ratio the old version's share is tolerated, by the spread that an
- * average over upstreams has. */
+/**
+ * Bounds the multiple of the old version's share that is tolerated. The
+ * multiple depends on how much an average over the new version's upstreams
+ * varies.
+ */
 constexpr double kMaxRatio = 2.0;
 constexpr double kSingleUpstreamRatio = 3.0;
 /** Standard errors above the estimate. */
--- a/src/rollout/VersionComparison.cpp
+++ b/src/rollout/VersionComparison.cpp
@@ -14,14 +14,23 @@
 
 namespace {
 
-/** Chance that a sound version is ever rolled back by the tests together. */
+/** Probability that a sound version is rolled back by any of the tests. */
 constexpr double kFalsePositiveRate = 0.003;
-/** Shares that a sound version may show by chance and by cold caches. */
+/**
+ * Shares of bad answers that a sound version may show by chance and because of
+ * cold caches.
+ */
 constexpr double kMinToleratedFailures = 0.02;
 constexpr double kMinToleratedSlow = 0.15;
-/** An answer this many times slower than the old version's median is bad. */
+/**
+ * An answer is bad if it takes more than this multiple of the old version's
+ * median.
+ */
 constexpr double kSlowFactor = 2.5;
-/** Hundredths: reading the whole prompt, beside others, takes less. */
+/**
+ * In hundredths. A prefill of the whole prompt beside other requests takes less
+ * than this.
+ */
 constexpr double kMinSlowFirstEvent = 250.0;
 constexpr double kMedian = 0.5;
 constexpr std::array kMetrics = { ComparedMetric::kFailures,
@@ -64,7 +73,10 @@
   return sum;
 }
 
-/** The worst upstream counts as if it were as bad as all others together. */
+/**
+ * Returns the sum, with the worst upstream's share of bad answers limited to
+ * that of all others together.
+ */
 AnswerCounts
 LimitWorstUpstream(const std::map<UpstreamName, AnswerCounts>& aCounts)
 {
@@ -85,7 +97,7 @@
            .mBad = others.mBad + std::min(one.mBad, atOthersRate) };
 }
 
-/** One comparison's counts; the new version's by upstream. */
+/** The counts of one comparison; those of the new version by upstream. */
 struct Comparison
 {
   std::map<UpstreamName, AnswerCounts> mNew;
