--- a/include/peridotspool/rollout/RolloutSchedule.h
+++ b/include/peridotspool/rollout/RolloutSchedule.h
@@ -12,7 +12,7 @@
   /** Until then the new version gets few requests, by which it is evaluated. */
   Duration mShiftAt{ 0 };
   /** The share then increases in steps of this length. */
-  Duration mStepFor{ 0 };
+  Duration mStepDuration{ 0 };
   /** Requests running at the old version may continue until then. */
   Duration mFinishBy{ 0 };
 
--- a/src/fleet/LeaderTaskManager.cpp
+++ b/src/fleet/LeaderTaskManager.cpp
@@ -145,10 +145,10 @@
     const std::int64_t due = static_cast<std::int64_t>(window.mNumber + 1) *
                                mOptions.mUsageWindow.count() +
                              mOptions.mUsageDueAfter.count();
-    const auto tried = mLastAttemptAt.find(window.mNumber);
-    const bool waits = tried != mLastAttemptAt.end() &&
-                       aNow - tried->second < mOptions.mRetryInterval;
-    if (!mDelivered.contains(window.mNumber) && !waits &&
+    const auto lastAttempt = mLastAttemptAt.find(window.mNumber);
+    const bool isPending = lastAttempt != mLastAttemptAt.end() &&
+                           aNow - lastAttempt->second < mOptions.mRetryInterval;
+    if (!mDelivered.contains(window.mNumber) && !isPending &&
         *micros < due + kMaxLateMicros) {
       mLastAttemptAt[window.mNumber] = aNow;
       aEffects.emplace_back(MakeCall(window, aView.mTerm, aNow));
--- a/src/fleet/OrderDispatcher.cpp
+++ b/src/fleet/OrderDispatcher.cpp
@@ -139,9 +139,9 @@
 OrderDispatcher::ReadUnknownSetups()
 {
   for (auto& [name, engine] : mEngines) {
-    const bool waits = engine.mRead.IsSet() &&
-                       mNow - engine.mReadAt < mOptions.mReadRetryInterval;
-    if (engine.mSetup || engine.mOrder || !engine.mWanted || waits ||
+    const bool isPending = engine.mRead.IsSet() &&
+                           mNow - engine.mReadAt < mOptions.mReadRetryInterval;
+    if (engine.mSetup || engine.mOrder || !engine.mWanted || isPending ||
         !MayOrder(engine)) {
       continue;
     }
--- a/src/rollout/RolloutController.cpp
+++ b/src/rollout/RolloutController.cpp
@@ -113,8 +113,8 @@
 {
   BucketCounts took;
   for (const auto& [route, answers] : aRun.mAnswers) {
-    for (const auto& [place, count] : answers.mOld.mTotalTime) {
-      took[place] += count;
+    for (const auto& [bucket, count] : answers.mOld.mTotalTime) {
+      took[bucket] += count;
     }
   }
   if (TotalCount(took) < kMinAnswers) {
@@ -143,9 +143,9 @@
   if (overall && overall->IsBad()) {
     return overall;
   }
-  const double tests =
+  const double spans =
     1.0 + static_cast<double>(aRun.mSchedule.mFinishBy / kRecentSpan);
-  auto recent = CompareVersions(Since(answers, history.front().second), tests);
+  auto recent = CompareVersions(Since(answers, history.front().second), spans);
   const bool isStronger =
     recent && overall && recent->mLogEvidence > overall->mLogEvidence;
   return isStronger ? recent : overall;
@@ -265,8 +265,8 @@
   }
   // A shift that was delayed by a change of leader skips its remaining steps.
   const bool isShort =
-    elapsed + 2 * aRun.mSchedule.mStepFor >= aRun.mSchedule.mFinishBy;
-  if (!isShort && aNow - aRun.mStageAt < aRun.mSchedule.mStepFor) {
+    elapsed + 2 * aRun.mSchedule.mStepDuration >= aRun.mSchedule.mFinishBy;
+  if (!isShort && aNow - aRun.mStageAt < aRun.mSchedule.mStepDuration) {
     return;
   }
   const auto next =
--- a/src/rollout/RolloutSchedule.cpp
+++ b/src/rollout/RolloutSchedule.cpp
@@ -30,7 +30,7 @@
   const Duration step = std::min<Duration>(aDuration / 16, seconds(2));
   const Duration finish = std::max(aDuration - margin, aDuration / 2);
   return { .mShiftAt = finish - drain - kShiftSteps * step,
-           .mStepFor = step,
+           .mStepDuration = step,
            .mFinishBy = finish };
 }
 
--- a/src/rollout/VersionComparison.cpp
+++ b/src/rollout/VersionComparison.cpp
@@ -39,22 +39,22 @@
 
 AnswerCounts
 CountsOf(const AnswerTally& aTally,
-         ComparedMetric aTrait,
+         ComparedMetric aMetric,
          std::uint32_t aSlowBucket)
 {
-  if (aTrait == ComparedMetric::kFailures) {
+  if (aMetric == ComparedMetric::kFailures) {
     return { .mAnswers = aTally.mAnswers, .mBad = aTally.mFailed };
   }
-  const BucketCounts& figures =
-    aTrait == ComparedMetric::kPace ? aTally.mPace : aTally.mFirstEvent;
-  return { .mAnswers = TotalCount(figures),
-           .mBad = CountAboveBucket(figures, aSlowBucket) };
+  const BucketCounts& values =
+    aMetric == ComparedMetric::kPace ? aTally.mPace : aTally.mFirstEvent;
+  return { .mAnswers = TotalCount(values),
+           .mBad = CountAboveBucket(values, aSlowBucket) };
 }
 
 std::uint32_t
-SlowBucket(const AnswerTally& aOld, ComparedMetric aTrait)
+SlowBucket(const AnswerTally& aOld, ComparedMetric aMetric)
 {
-  if (aTrait == ComparedMetric::kPace) {
+  if (aMetric == ComparedMetric::kPace) {
     return QuantileBucket(aOld.mPace, kMedian) + BucketsForRatio(kSlowFactor);
   }
   return std::max(QuantileBucket(aOld.mFirstEvent, kMedian) +
@@ -116,35 +116,35 @@
 }
 
 Comparison
-Compare(const RouteAnswers& aAnswers, ComparedMetric aTrait)
+Compare(const RouteAnswers& aAnswers, ComparedMetric aMetric)
 {
-  const std::uint32_t slow = SlowBucket(aAnswers.mOld, aTrait);
+  const std::uint32_t slow = SlowBucket(aAnswers.mOld, aMetric);
   Comparison comparison{ .mNew = {},
-                         .mOld = CountsOf(aAnswers.mOld, aTrait, slow) };
-  const bool isTiming = aTrait != ComparedMetric::kFailures;
+                         .mOld = CountsOf(aAnswers.mOld, aMetric, slow) };
+  const bool isTiming = aMetric != ComparedMetric::kFailures;
   if (isTiming && comparison.mOld.mAnswers == 0) {
     return {};
   }
   for (const auto& [upstream, tally] : aAnswers.mNew) {
-    comparison.mNew[upstream] = CountsOf(tally, aTrait, slow);
+    comparison.mNew[upstream] = CountsOf(tally, aMetric, slow);
   }
   return comparison;
 }
 
 VersionEvidence
 EvaluateEvidence(const std::string& aRoute,
-                 ComparedMetric aTrait,
+                 ComparedMetric aMetric,
                  const Comparison& aComparison,
                  double aThreshold)
 {
   const AnswerCounts counts = LimitWorstUpstream(aComparison.mNew);
   const double tolerated =
     ToleratedShare(aComparison.mOld,
-                   aTrait == ComparedMetric::kFailures ? kMinToleratedFailures
-                                                       : kMinToleratedSlow,
+                   aMetric == ComparedMetric::kFailures ? kMinToleratedFailures
+                                                        : kMinToleratedSlow,
                    aComparison.mNew.size());
   return { .mRoute = aRoute,
-           .mMetric = aTrait,
+           .mMetric = aMetric,
            .mNew = counts,
            .mOld = aComparison.mOld,
            .mTolerated = tolerated,
@@ -226,14 +226,14 @@
     static_cast<double>(kMetrics.size() * (aAnswers.size() + 1));
   const double threshold = std::log(aSpans * tests / kFalsePositiveRate);
   std::vector<VersionEvidence> evidence;
-  for (const ComparedMetric trait : kMetrics) {
+  for (const ComparedMetric metric : kMetrics) {
     Comparison all;
     for (const auto& [route, answers] : aAnswers) {
-      const Comparison one = Compare(answers, trait);
+      const Comparison one = Compare(answers, metric);
       Add(all, one);
-      evidence.push_back(EvaluateEvidence(route, trait, one, threshold));
+      evidence.push_back(EvaluateEvidence(route, metric, one, threshold));
     }
-    evidence.push_back(EvaluateEvidence("all", trait, all, threshold));
+    evidence.push_back(EvaluateEvidence("all", metric, all, threshold));
   }
   return *std::max_element(
     evidence.begin(), evidence.end(), [](const auto& aOne, const auto& aOther) {
@@ -244,9 +244,9 @@
 std::string
 ToText(const VersionEvidence& aEvidence)
 {
-  std::array<char, 64> figures{};
-  std::snprintf(figures.data(),
-                figures.size(),
+  std::array<char, 64> buffer{};
+  std::snprintf(buffer.data(),
+                buffer.size(),
                 "tolerated=%.3f log_evidence=%.2f threshold=%.2f",
                 aEvidence.mTolerated,
                 aEvidence.mLogEvidence,
@@ -256,7 +256,7 @@
          " new=" + std::to_string(aEvidence.mNew.mBad) + "/" +
          std::to_string(aEvidence.mNew.mAnswers) +
          " old=" + std::to_string(aEvidence.mOld.mBad) + "/" +
-         std::to_string(aEvidence.mOld.mAnswers) + " " + figures.data();
+         std::to_string(aEvidence.mOld.mAnswers) + " " + buffer.data();
 }
 
 } // namespace peridotspool::rollout
