--- a/include/peridotspool/runtime/ControlDialect.h
+++ b/include/peridotspool/runtime/ControlDialect.h
@@ -23,7 +23,7 @@
   membership::UpstreamReport mReport;
 };
 
-/** An upstream's goodbye. */
+/** An upstream's deregistration. */
 struct DeregisterCall
 {
   UpstreamName mName;
--- a/include/peridotspool/runtime/OperatorClient.h
+++ b/include/peridotspool/runtime/OperatorClient.h
@@ -25,7 +25,7 @@
   std::string mKey;
   /** An address that says nothing for this long is left for another. */
   std::chrono::milliseconds mSilence{ 3000 };
-  /** How long the control replicas are asked again for a sure answer. */
+  /** How long a request to the control replicas is retried. */
   std::chrono::milliseconds mRetryTimeout{ 15000 };
 };
 
