--- a/test/fleet/FleetPlannerTest.cpp
+++ b/test/fleet/FleetPlannerTest.cpp
@@ -36,7 +36,7 @@
   return demand;
 }
 
-/** A cloud in memory: it gives or refuses what the planner asks for. */
+/** An in-memory cloud that grants or refuses the planner's start requests. */
 class TestCloud
 {
 public:
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Lets seconds pass; the cloud answers starts within each of them. */
+  /** Advances time; the cloud responds to the pending starts once a second. */
   void Run(int aSeconds)
   {
     for (int second = 0; second < aSeconds; ++second) {
@@ -93,7 +93,10 @@
     Step(ServingEvent{ name });
   }
 
-  /** The cloud takes a whole domain back and sells nothing there. */
+  /**
+   * Reclaims all reclaimable instances of a domain and refuses further starts
+   * there.
+   */
   void ReclaimDomain(const std::string& aDomain)
   {
     mRefused.insert(Key(aDomain));
@@ -140,7 +143,7 @@
   CHECK(cloud.mMaxPending <= FleetOptions{}.mMaxStarting);
 }
 
-TEST_CASE("PreferenceAndWeightsDecideWhereToBuy")
+TEST_CASE("PreferenceAndWeightsSelectTheOffer")
 {
   ServiceDemand demand = Demand(4);
   demand.mPreferredDomains = { FailureDomain("marousi") };
@@ -149,7 +152,7 @@
   cloud.Run(3);
   CHECK(cloud.LiveIn("marousi") >= 2);
 
-  // A service that can't wait pays for a domain where little is reclaimed.
+  // A high latency weight selects a more expensive domain with fewer reclaims.
   for (const double weight : { 0.1, 20.0 }) {
     ServiceDemand one = Demand(1);
     one.mLatencyWeight = weight;
@@ -169,11 +172,10 @@
   }
 }
 
-// Symptom: the cloud throttles all calls just when replacements are needed.
-// Sequence: a domain's worth of instances is reclaimed, all reclaimable starts
-// are refused for five minutes.
-// Cause: every missing instance asked for in every round.
-TEST_CASE("WaveOfReclaimsSetsOffNoStormOfStarts")
+// Guards against throttling by the cloud when replacements are needed: all
+// instances of a domain are reclaimed, all starts are refused for five minutes,
+// and every missing instance is requested again in every round.
+TEST_CASE("WaveOfReclaimsCausesNoStormOfStarts")
 {
   TestCloud cloud(Demand(20));
   cloud.Step(ListedEvent{});
@@ -186,15 +188,16 @@
   REQUIRE(cloud.mLive.size() == 15);
   cloud.mStartsRequested = 0;
   cloud.Run(300);
-  // Five missing in 300 rounds would be 1,500 if asked for in every one.
-  INFO("starts asked for: " << cloud.mStartsRequested);
+  // Requesting five missing instances in each of 300 rounds would be 1,500
+  // starts.
+  INFO("starts requested: " << cloud.mStartsRequested);
   CHECK(cloud.mStartsRequested <= 80);
   cloud.mRefused.clear();
   cloud.Run(300);
   CHECK(cloud.mLive.size() == 20);
 }
 
-TEST_CASE("RefusedStartsFallOverToOtherDomainsAndThenToOnDemand")
+TEST_CASE("RefusedStartsFailOverToOtherDomainsAndThenToOnDemand")
 {
   TestCloud cloud(Demand(8));
   cloud.mRefused = { Key("marousi"), Key("elefsina") };
@@ -216,10 +219,10 @@
     }));
 }
 
-// Symptom: twice the fleet after a change of the control leader.
-// Sequence: a new leader knows of no instances and buys them all.
-// Cause: the planner's memory isn't the log's.
-TEST_CASE("NewLeaderBuysNothingBeforeItKnowsWhatIsThere")
+// Guards against twice the fleet after a change of leader: the planner's state
+// is not in the control log, so a new leader that knows of no instances would
+// start all of them again.
+TEST_CASE("NewLeaderStartsNothingBeforeTheCloudListsInstances")
 {
   FleetOptions options;
   options.mActAfter = TimePoint(std::chrono::seconds(1010));
@@ -238,7 +241,7 @@
   cloud.Step(ListedEvent{ listed });
   cloud.Run(30);
   CHECK(cloud.mStartsRequested == 0);
-  // A list that is older than a start's answer forgets nothing.
+  // A list older than the response to a start does not remove the new instance.
   cloud.Step(ReclaimNoticeEvent{ InstanceName("old-0") });
   cloud.Run(1);
   REQUIRE(cloud.mStartsRequested == 1);
@@ -253,13 +256,13 @@
   cloud.Step(ListedEvent{});
   cloud.Run(5);
   cloud.Step(DemandEvent{ { Demand(3) } });
-  // The wanted number is kept within the new bounds; shrink it by latency.
+  // The wanted number stays within the new bounds; low latency then reduces it.
   for (int second = 0; second < 700; ++second) {
     cloud.Step(LatencyEvent{ ServiceName("assistant"), Duration(1000) });
     cloud.Run(1);
   }
   CHECK(cloud.mPlanner.Wanted(ServiceName("assistant")) == 3);
-  // A surplus of less than two minutes is kept.
+  // A surplus is not drained within the first two minutes.
   CHECK(cloud.mDrained.empty());
   cloud.Run(130);
   REQUIRE(cloud.mDrained.size() == 1);
@@ -270,7 +273,7 @@
   CHECK(cloud.mDrained.size() == 1);
 }
 
-TEST_CASE("MissedLatencyTargetBuysMoreOnlyWhenItLasts")
+TEST_CASE("SustainedMissOfLatencyTargetAddsInstances")
 {
   TestCloud cloud(Demand(4));
   cloud.Step(ListedEvent{});
@@ -293,7 +296,7 @@
   CHECK(cloud.mPlanner.Wanted(ServiceName("assistant")) == 8);
 }
 
-TEST_CASE("WhateverTheCloudDoesTheBoundsHold")
+TEST_CASE("BoundsHoldUnderRandomRefusalsAndReclaims")
 {
   rc::prop("random refusals, reclaims and demands", [] {
     FleetOptions options;
--- a/test/fleet/LeaderTaskManagerTest.cpp
+++ b/test/fleet/LeaderTaskManagerTest.cpp
@@ -30,7 +30,7 @@
              { .mNumber = aWindow, .mCounts = { { kCustomer, aCount } } } } };
 }
 
-/** One replica's desk, with the log that all replicas share. */
+/** The leader tasks of one replica, with the log that all replicas share. */
 struct Replica
 {
   LeaderTaskManager mManager{ LeaderTaskOptions{} };
@@ -61,11 +61,11 @@
 
 } // namespace
 
-// Symptom: the cloud got two reports of one window with different counts.
-// Sequence: the holder told the cloud and died; the next one added the entries'
-// reports up again, by then with later ones among them.
-// Cause: what was told was remembered by the holder alone.
-TEST_CASE("TheNextHolderTellsWordForWordWhatWasCommitted")
+// Guards against two reports of one window with different counts: the leader
+// reports to the cloud and dies, and the next one sums up the entries' reports
+// again, including later ones. This happens if only the leader stores what was
+// reported.
+TEST_CASE("TheNextLeaderReportsCommittedUsageUnchanged")
 {
   std::vector<gateway::UsageWindow> log;
   Replica first(log);
@@ -90,15 +90,15 @@
   CHECK(second.mCalls[0].mFence > first.mCalls[0].mFence);
 }
 
-// Symptom: a window's usage lacked a third of its requests.
-// Sequence: an entry reported and was killed; then the leader was killed; the
-// next one added up what the living entries reported.
-// Cause: reports went to the leader alone.
-TEST_CASE("TheNextHolderCountsEntriesThatAreGone")
+// Guards against a window whose usage lacks the requests of an ended entry,
+// which was a third of the total: an entry reports and is killed, then the
+// leader is killed, and the next leader sums up only the reports of live
+// entries. This happens if entries report to the leader alone.
+TEST_CASE("TheNextLeaderCountsUsageOfEntriesThatHaveEnded")
 {
   std::vector<gateway::UsageWindow> log;
   Replica next(log);
-  // Heard while another replica led.
+  // Received while another replica was the leader.
   next.mManager.RecordReport(Report(1, 1, 10, 6000), At(6000));
   next.mManager.RecordReport(Report(2, 1, 5, 6000), At(6000));
   next.mLeads = true;
@@ -111,10 +111,10 @@
   CHECK(log[0].mCounts.at(kCustomer) == 17);
 }
 
-// Symptom: two holders of a duty acted by turns within a lease.
-// Sequence: the lead went from one replica to another and back at once.
-// Cause: a new holder acted as soon as it led.
-TEST_CASE("HoldersNeverActByTurnsWithinALease")
+// Guards against two leaders that act alternately within one lease: leadership
+// moves from one replica to another and back at once, and a new leader acts as
+// soon as it is elected.
+TEST_CASE("LeadersNeverActAlternatelyWithinALease")
 {
   rc::prop("A, B, A", [] {
     std::vector<gateway::UsageWindow> log;
@@ -156,7 +156,7 @@
   });
 }
 
-TEST_CASE("ACallWithoutAnAnswerIsMadeAgainOneThatWasTakenIsNot")
+TEST_CASE("ACallIsRetriedUntilItSucceeds")
 {
   std::vector<gateway::UsageWindow> log;
   Replica one(log);
--- a/test/fleet/OrderDispatcherTest.cpp
+++ b/test/fleet/OrderDispatcherTest.cpp
@@ -9,7 +9,7 @@
 
 constexpr TimePoint kStart{ std::chrono::seconds(1000) };
 
-/** Engines in memory that carry out what they are sent. */
+/** In-memory engines that carry out the orders they are sent. */
 class TestEngines
 {
 public:
@@ -78,25 +78,24 @@
 
 } // namespace
 
-TEST_CASE("OrdersSayWhatShallBeAndAreNotRepeated")
+TEST_CASE("OrdersAreSentOnlyForAChangedSetup")
 {
   TestEngines engines;
   engines.Add("engine-1", true, "large");
   engines.Run(std::chrono::seconds(60));
   REQUIRE(engines.mSent.size() == 1);
   CHECK(engines.mSent[0].mSetup.mModel == "large");
-  // What the engine has already needs no order, whoever gave it.
+  // An engine that has the desired setup needs no order, whoever set it up.
   engines.mSetups[UpstreamName("engine-2")] = { .mModel = "large" };
   engines.Add("engine-2", true, "large");
   engines.Run(std::chrono::seconds(60));
   CHECK(engines.mSent.size() == 1);
 }
 
-// Symptom: an engine that ignores fencing numbers ends with the old model.
-// Sequence: the old leader sends an order at the end of its lease; the engine
-// works on it for nearly the longest time; meanwhile a new leader's order has
-// been done; then the old one ends.
-// Cause: trust in a number that nobody checks.
+// Guards against an engine that ignores fencing numbers and ends with the old
+// model: the old leader sends an order at the end of its lease, and the engine
+// works on it for nearly the maximum time. Meanwhile the new leader's order is
+// done, and then the old order ends and undoes it.
 TEST_CASE("EngineThatIgnoresFencingWaitsForTheEarlierLeadersOrders")
 {
   const bool checks = GENERATE(true, false);
@@ -108,7 +107,7 @@
   bool oldEnded = false;
   while (engines.mNow < oldOrderEnds + std::chrono::seconds(60)) {
     engines.Run(std::chrono::milliseconds(100));
-    // An engine that checks the numbers refuses the old order at its end.
+    // An engine that checks fencing numbers rejects the old order when it ends.
     if (!oldEnded && engines.mNow >= oldOrderEnds) {
       oldEnded = true;
       if (!checks) {
@@ -128,7 +127,7 @@
   CHECK(engines.mSent.size() == 1);
 }
 
-TEST_CASE("StaleNumberEndsAllOrders")
+TEST_CASE("StaleFencingNumberStopsAllOrders")
 {
   TestEngines engines;
   engines.mOutcome = OrderOutcome::kStale;
@@ -139,10 +138,10 @@
   CHECK(engines.mSent.size() == 1);
 }
 
-// Symptom: after a wave, all new engines load for many minutes and none serves.
-// Sequence: twenty engines are to load 10 GB each from a store of 2 GB/s.
-// Cause: all loads asked for at once share the rate and end together.
-TEST_CASE("LoadsAreAskedForAtTheWeightStoresRate")
+// Guards against engines that load for many minutes while none serves: twenty
+// engines load 10 GB each from a store of 2 GB/s. Loads requested all at once
+// share the bandwidth and end together.
+TEST_CASE("LoadsAreRequestedAtTheWeightStoresRate")
 {
   TestEngines engines;
   engines.mApplyOrders = false;
@@ -154,13 +153,13 @@
                                   .mModelBytes = 10ULL << 30,
                                   .mUrgency = 1.0 });
   engines.Run(std::chrono::seconds(50));
-  // One load takes the store 5 s; one more may wait at the store.
+  // One load takes the store 5 s, and one more may be queued.
   CHECK(engines.mSent.size() >= 10);
   CHECK(engines.mSent.size() <= 12);
   CHECK(engines.mSent[0].mEngine == UpstreamName("engine-29"));
 }
 
-TEST_CASE("FailedOrderIsReadBackAndTriedAgainWithBackoff")
+TEST_CASE("FailedOrderIsReadBackAndRetriedWithBackoff")
 {
   TestEngines engines;
   engines.mApplyOrders = false;
@@ -179,7 +178,7 @@
   }
 }
 
-TEST_CASE("NewIncarnationIsReadAnewAndOldAnswersDoNotCount")
+TEST_CASE("NewIncarnationIsReadAgainAndOldResponsesAreIgnored")
 {
   TestEngines engines;
   engines.Add("engine-1", true, "large");
--- a/test/fleet/PoolPlannerTest.cpp
+++ b/test/fleet/PoolPlannerTest.cpp
@@ -36,7 +36,7 @@
   return { FailureDomain(aDomain), aReclaimable };
 }
 
-/** A cloud that takes orders and carries them out when it is told to. */
+/** A cloud that accepts orders and carries them out on request. */
 class Cloud
 {
 public:
@@ -74,14 +74,14 @@
 
 } // namespace
 
-TEST_CASE("ReclaimableUpstreamsTakeThePlaceOfLastingOnesWhichStayUntilThen")
+TEST_CASE("OnDemandUpstreamsAreReleasedOnceReclaimableOnesReplaceThem")
 {
   PoolPlanner planner(
     { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 4 }, { Key("b", false), 4 } };
   cloud.Run(planner, 0);
-  // As many as there were remain when either domain is taken.
+  // If either domain is reclaimed, as many remain as there were.
   CHECK(cloud.mAccepted[Key("a", true)] == 8);
   CHECK(cloud.mAccepted[Key("b", true)] == 8);
   const auto onDemand =
@@ -94,12 +94,11 @@
   CHECK(cloud.mAccepted[Key("b", false)] == 0);
 }
 
-// Symptom: a tenth of the seconds paid for were those of twelve onDemand
-// upstreams that nobody used.
-// Sequence: they are discovered running; reclaimable ones are ready in their
-// place before the first request. Cause: they were kept for a while, as among
-// the waves of a day.
-TEST_CASE("BeforeAnyLoadLastingOnesGoAsSoonAsReclaimableOnesAreReady")
+// Guards against paying for on-demand upstreams that nobody uses: twelve of
+// them are found running, reclaimable ones are ready in their place before the
+// first request, and the on-demand ones are retained as between waves of
+// reclaims. That was a tenth of the paid upstream time.
+TEST_CASE("BeforeLoadOnDemandUpstreamsAreReleasedAsSoonAsReplaced")
 {
   PoolPlanner planner({ .mMinUpstreams = 8,
                         .mObservationPeriod = Duration(0),
@@ -117,7 +116,7 @@
   cloud.Run(planner, 4000);
   cloud.CarryOut();
   CHECK(onDemand() == 0);
-  // Once there is load they stay for a while.
+  // Under load they are retained for a while.
   cloud.mView.mRunning = 10.0;
   cloud.mView.mReady[Key("a", true)] = 0;
   cloud.mView.mReady[Key("b", true)] = 0;
@@ -130,11 +129,10 @@
   CHECK(onDemand() == 8);
 }
 
-// Symptom: nearly all requests failed for twenty seconds.
-// Sequence: the cloud took one failure domain after the other back, and had no
-// reclaimable instances to give meanwhile.
-// Cause: only reclaimable ones were ordered, again and again.
-TEST_CASE("LastingUpstreamsAreOrderedWhenReclaimableOnesAreRefused")
+// Guards against twenty seconds in which nearly all requests fail: the cloud
+// reclaims one failure domain after another and has no reclaimable instances
+// meanwhile, but only reclaimable ones are ordered, again and again.
+TEST_CASE("OnDemandUpstreamsAreOrderedWhenReclaimableOnesAreRefused")
 {
   PoolPlanner planner(
     { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
@@ -148,7 +146,7 @@
   const auto onDemand =
     cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)];
   CHECK(onDemand == 3);
-  // They stay while reclaimable ones are away, and go once those are back.
+  // On-demand upstreams are retained until reclaimable ones are ready again.
   cloud.CarryOut();
   cloud.mView.mReady[Key("a", true)] = 1;
   cloud.mView.mReady.erase(Key("b", true));
@@ -166,11 +164,10 @@
         0);
 }
 
-// Symptom: the first seconds of a large deployment's day failed.
-// Sequence: 140 onDemand upstreams were there; before any request had come the
-// pool was cut to its least.
-// Cause: no load was taken for little load.
-TEST_CASE("ThePoolStaysAsLargeAsItWasFoundAndADomainMoreUntilLoadIsSeen")
+// Guards against failing requests in the first seconds of a large deployment:
+// 140 on-demand upstreams are running, and the pool is cut to its minimum
+// before the first request because no load yet is mistaken for low load.
+TEST_CASE("ThePoolKeepsItsInitialSizeAndASpareDomainUntilThereIsLoad")
 {
   PoolPlanner planner(
     { .mMinUpstreams = 2, .mObservationPeriod = Duration(0) });
@@ -192,19 +189,18 @@
   CHECK(planner.Wanted() == 2);
 }
 
-// Symptom: the first six seconds of a large deployment's day lost a third of
-// their worth.
-// Sequence: ninety onDemand upstreams run; the holder of the duty has heard of
-// some of them when it first plans, and of the others within a heartbeat.
-// Cause: it ordered as many as it knew, and so took the others away.
-TEST_CASE("UpstreamsThatAreHeardLateAreNotTakenAway")
+// Guards against the loss of a third of the value of the first six seconds of a
+// large deployment: ninety on-demand upstreams are running, and a new leader
+// knows of only some when it first plans, and of the others within one
+// heartbeat. Ordering only the known number would release the others.
+TEST_CASE("UpstreamsDiscoveredLateAreNotReleased")
 {
   PoolPlanner planner({ .mMinUpstreams = 2 });
   Cloud cloud;
-  for (std::uint32_t heard = 1; heard <= 10; ++heard) {
-    cloud.mView.mReady = { { Key("a", false), heard },
-                           { Key("b", false), heard / 2 } };
-    cloud.Run(planner, static_cast<int>(heard) * 120);
+  for (std::uint32_t known = 1; known <= 10; ++known) {
+    cloud.mView.mReady = { { Key("a", false), known },
+                           { Key("b", false), known / 2 } };
+    cloud.Run(planner, static_cast<int>(known) * 120);
   }
   CHECK(cloud.mAccepted.find(Key("a", false)) == cloud.mAccepted.end());
   CHECK(cloud.mAccepted.find(Key("b", false)) == cloud.mAccepted.end());
@@ -216,11 +212,12 @@
         3);
 }
 
-// Symptom: the first eight seconds of a heavy day earned 0.4 to 0.7.
-// Sequence: 140 onDemand upstreams run; 95 of them are heard within 1.5 s, the
-// others when control replicas that joined late take their heartbeats.
-// Cause: what was heard after the first moments was never counted.
-TEST_CASE("TheReserveBeforeLoadCountsUpstreamsThatAreHeardSecondsLater")
+// Guards against a pool that is too small for the first eight seconds of heavy
+// load, which scored only 0.4 to 0.7: 140 on-demand upstreams are running, of
+// which 95 are discovered within 1.5 s and the others when control replicas
+// that joined late receive their heartbeats. Upstreams discovered after the
+// first moments must count too.
+TEST_CASE("TheReserveBeforeLoadCountsUpstreamsDiscoveredSecondsLater")
 {
   PoolPlanner planner({ .mMinUpstreams = 2 });
   Cloud cloud;
@@ -231,7 +228,7 @@
   cloud.mView.mReady[Key("b", false)] = 3;
   cloud.Run(planner, 3500);
   CHECK(planner.Wanted() == 10);
-  // Those that were ordered in their place are no ground for more.
+  // Reclaimable upstreams ordered as replacements do not raise the reserve.
   for (int ms = 4000; ms < 20000; ms += 500) {
     cloud.Run(planner, ms);
     cloud.CarryOut();
@@ -241,7 +238,7 @@
   CHECK(cloud.mView.mReady[Key("a", false)] == 0);
 }
 
-TEST_CASE("TheReserveBeforeLoadCostsNoMoreThanWhatItStandsInFor")
+TEST_CASE("TheReserveBeforeLoadCostsNoMoreThanWhatItReplaces")
 {
   ServiceProfile expensive = MakeService();
   expensive.mScaling->mReclaimablePrice = 0.8;
@@ -250,16 +247,15 @@
   PoolView view;
   view.mReady = { { Key("a", false), 6 } };
   planner.Plan(expensive, view, At(0));
-  // A domain's worth more than there were: 6 x 3 / 2.
+  // The reserve covers the loss of one domain: 6 x 3 / 2.
   CHECK(planner.Wanted() == 9);
 }
 
-// Symptom: in the middle of a calm day windows earned 0.67 of 0.95, and a
-// hundred onDemand upstreams were paid for. Sequence: a reserve of four times
-// the load's need; a domain is reclaimed and nothing is to be had in its place;
-// eight seconds of load have been seen. Cause: the pool was cut to the load's
-// need at once, at that moment.
-TEST_CASE("ThePoolShrinksInStepsAndNotWhileOthersAreRefused")
+// Guards against a pool that is cut to the load's need at once: after eight
+// seconds of load, a reserve of four times the need is cut while a domain is
+// reclaimed and no replacement is available. The windows then scored 0.67
+// and not 0.95, and a hundred on-demand upstreams had to be paid for.
+TEST_CASE("ThePoolShrinksInStepsAndNotDuringACapacityShortage")
 {
   PoolPlanner planner({ .mMinUpstreams = 2, .mTargetConcurrency = 1.0 });
   Cloud cloud;
@@ -287,11 +283,11 @@
   }
 }
 
-// Symptom: for six seconds nearly all requests failed or came late.
-// Sequence: the cloud takes one of three domains, gives nothing in its place,
-// and two seconds later takes the next ones. Cause: what was left was counted
-// as if it would stay, and a start takes longer than a reclaim's notice.
-TEST_CASE("WhileNoneAreToBeHadTheLargestDomainLeftCountsAsGone")
+// Guards against six seconds in which nearly all requests fail or are late: the
+// cloud reclaims one of three domains, grants no replacement, and reclaims the
+// next ones two seconds later. The remaining upstreams must not count as
+// permanent, because a start takes longer than the notice of a reclaim.
+TEST_CASE("DuringACapacityShortageTheLargestRemainingDomainCountsAsLost")
 {
   ServiceProfile service = MakeService();
   service.mScaling->mPrices[FailureDomain("c")] = 1.0;
@@ -312,17 +308,18 @@
   };
   CHECK(plan(0, false) == 0);
   REQUIRE(planner.Wanted() == 30);
-  // Two thirds are left, of which half may go at once; the load needs eight.
+  // Two thirds are left, and half of those may be lost at once; the load needs
+  // eight.
   view.mRunning = 3.5 * 16;
   view.mReady.erase(Key("c", true));
   CHECK(plan(1000, true) == 0);
   CHECK(plan(1100, true) == 0);
-  // Ten are left, which may go at once.
+  // Ten are left, and all of them may be lost at once.
   view.mReady.erase(Key("b", true));
   CHECK(plan(1200, true) == 8);
 }
 
-TEST_CASE("APoolThatCannotBeHadInFullIsNotKeptForEver")
+TEST_CASE("AnOversizedPoolShrinksEventuallyDuringACapacityShortage")
 {
   PoolPlanner planner({ .mMinUpstreams = 2, .mTargetConcurrency = 1.0 });
   Cloud cloud;
@@ -336,7 +333,7 @@
   CHECK(planner.Wanted() < 20);
 }
 
-TEST_CASE("NothingIsOrderedWhenNothingIsToChange")
+TEST_CASE("NothingIsOrderedWithoutAChange")
 {
   PoolPlanner planner(
     { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
@@ -348,7 +345,7 @@
   CHECK(cloud.mOrders <= 2);
 }
 
-TEST_CASE("LoadRaisesThePoolAtOnceAndLowersItAfterAWhile")
+TEST_CASE("ThePoolGrowsWithLoadAtOnceAndShrinksAfterADelay")
 {
   PoolPlanner planner({ .mMinUpstreams = 4, .mTargetConcurrency = 5.0 });
   Cloud cloud;
@@ -363,12 +360,12 @@
   CHECK(planner.Wanted() == 4);
 }
 
-// Symptom: a quiet day earned 0.43 or 0.70; of its first plays one in two.
-// Sequence: two domains are reclaimed. For a second and a half the cloud has
-// upstreams to give, then takes the other two. An order refused just before is
-// tried again just after.
-// Cause: 1.5 s between two tries, as long as the gap.
-TEST_CASE("AGapOfASecondInADryTimeIsMet")
+// Guards against missing a short gap in a capacity shortage: two domains are
+// reclaimed, the cloud has capacity for a second and a half, and then it
+// reclaims the other two. An order refused just before the gap is retried just
+// after it if the time between retries is 1.5 s, as long as the gap. Light load
+// then scored 0.43 or 0.70 in one of two runs.
+TEST_CASE("AOneSecondGapInACapacityShortageIsUsed")
 {
   constexpr int kGapMs = 1000;
   constexpr int kPlanEachMs = 100;
--- a/test/rollout/AllowanceAccountTest.cpp
+++ b/test/rollout/AllowanceAccountTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** What an entry holds, as RolloutGate keeps it. */
+/** The allowance of an entry as RolloutGate stores it. */
 struct Holder
 {
   std::uint64_t mUsed = 0;
@@ -38,7 +38,10 @@
   RolloutProgress mProgress;
 };
 
-/** Takes any message of a queue, loses it, or leaves it for later. */
+/**
+ * Removes a random message from a queue. Returns false if the message is lost
+ * or there is none.
+ */
 template<typename T>
 bool
 ReceiveAny(std::deque<T>& aQueue, std::mt19937& aRandom, T& aReceived)
@@ -54,8 +57,8 @@
 
 } // namespace
 
-// Guards against more requests than were reserved, whatever messages are lost
-// or overtake each other, and however often entries and leaders are replaced.
+// Guards against more requests than were reserved when messages are lost or
+// reordered and entries and leaders are replaced.
 TEST_CASE("EntriesNeverUseMoreThanWasReserved")
 {
   for (unsigned seed = 1; seed <= 300; ++seed) {
@@ -152,13 +155,13 @@
   }
 }
 
-TEST_CASE("WhatAnEntryCanNoLongerUseIsGivenToAnother")
+TEST_CASE("UnusableAllowanceIsGrantedToAnotherEntry")
 {
   AllowanceAccount account(0);
   account.RecordProgress(1, {}, 0);
   CHECK(account.Allow(1, 2, 2, 1) == 2);
   CHECK(account.Allow(2, 2, 2, 1) == 0);
-  // Its lease has run out, and it has taken the last update.
+  // Its lease has expired, and it has applied the last update.
   account.RecordProgress(1, { .mUsed = 1, .mAllowed = 1 }, 1);
   CHECK(account.Allow(2, 2, 2, 2) == 1);
 }
--- a/test/rollout/MildFaultsTest.cpp
+++ b/test/rollout/MildFaultsTest.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-// Guards against a version of which a small part of the answers is bad: beside
-// upstreams that fail themselves the tries don't show it before the shift.
+// Guards against a version with a small share of bad answers. Upstreams that
+// fail themselves mask this share until the shift.
 TEST_CASE("AVersionThatIsBadInFewAnswersKeepsTheBounds")
 {
   for (const VersionFault& fault :
--- a/test/rollout/RolloutGateTest.cpp
+++ b/test/rollout/RolloutGateTest.cpp
@@ -38,7 +38,7 @@
                                      .mAllowed = aAllowed } };
 }
 
-/** Of so many requests, those that go to the new version. */
+/** Returns how many of aCount requests go to the new version. */
 int
 SentToNew(RolloutGate& aGate, int aCount, TimePoint aNow)
 {
@@ -61,12 +61,12 @@
   CHECK(gate.ChooseFirst(kService, "r", 1, { { kOld, 2 } }, At(0))
           .mFilter.Allows(kOld));
   CHECK(SentToNew(gate, 100, At(1)) == 0);
-  // Its upstreams are all that is left.
+  // The new version's upstreams are the only ones left.
   CHECK(gate.ChooseFirst(kService, "r", 1, { { kNew, 2 } }, At(2))
           .mFilter.Allows(kNew));
 }
 
-// Guards against an entry that has just started and guesses.
+// Guards against an entry that selects a version before its first update.
 TEST_CASE("WithoutAnyUpdateNoVersionIsChosenAmongSeveral")
 {
   RolloutGate gate;
@@ -86,8 +86,8 @@
   CHECK(SentToNew(gate, 1000, At(301)) == 2);
 }
 
-// Guards against an entry that goes on sending to a version that the leader, of
-// which it hears nothing, has rolled back.
+// Guards against an entry that continues to send requests to a version that the
+// leader has rolled back while the entry cannot reach the leader.
 TEST_CASE("WithoutTheLeaderTheNewVersionGetsNothing")
 {
   RolloutGate gate;
@@ -96,7 +96,7 @@
   CHECK(SentToNew(gate, 1000, At(2000)) == 0);
 }
 
-TEST_CASE("AnUpdateThatWasOvertakenIsDropped")
+TEST_CASE("AnOutOfOrderUpdateIsDropped")
 {
   RolloutGate gate;
   gate.ApplyUpdate(Update(2, { Running(0, 0) }), At(0));
@@ -122,8 +122,8 @@
   CHECK(SentToNew(gate, 1000, At(60000)) == 0);
 }
 
-// Guards against requests for upstreams that stop the moment a rollout is
-// completed, at an entry that hasn't heard of it.
+// Guards against requests to upstreams that stop when a rollout is completed,
+// at an entry that has not received the update.
 TEST_CASE("AtTheEndOfTheShiftAnEntryWithoutALeaseUsesBothVersions")
 {
   RolloutGate gate;
@@ -134,7 +134,7 @@
   CHECK(choice.mFilter.Allows(kNew));
 }
 
-TEST_CASE("WhileItIsTriedOnlyFewOfItsUpstreamsAreUsed")
+TEST_CASE("WhileWatchedOnlyFewUpstreamsOfTheNewVersionAreUsed")
 {
   RolloutGate gate;
   gate.ApplyUpdate(Update(1, { Running(0, 1) }), At(0));
--- a/test/rollout/RolloutSimulation.cpp
+++ b/test/rollout/RolloutSimulation.cpp
@@ -91,7 +91,7 @@
   }
 
 private:
-  /** Something that happens later. */
+  /** A callback that runs at a later time. */
   struct DelayedCall
   {
     int mAtMs = 0;
--- a/test/rollout/RolloutSimulation.h
+++ b/test/rollout/RolloutSimulation.h
@@ -12,15 +12,18 @@
 /** How a version that is rolled out differs from a sound one. */
 struct VersionFault
 {
-  /** Share of its answers that are failures, or come slower. */
+  /** Shares of its answers that fail, or that are slowed down. */
   double mFails = 0.0;
   double mSlows = 0.0;
   double mSlowTimes = 4.0;
-  /** Only from then on, counted from the order. */
+  /** The fault begins at this time after the order. */
   int mFromMs = 0;
-  /** Only while one of its upstreams has more than so many at once. */
+  /**
+   * The fault shows only at upstreams that have at least this many other
+   * requests running.
+   */
   int mAboveLoad = 0;
-  /** Only on the rarest route. */
+  /** The fault shows only on the rarest route. */
   bool mRareRouteOnly = false;
 
   bool IsBad() const { return mFails > 0.0 || mSlows > 0.0; }
@@ -33,18 +36,23 @@
   int mUpstreamsEach = 20;
   int mRequestsPerSecond = 150;
   int mDurationMs = 12000;
-  /** Of an answer of the old version. */
+  /** Mean time of an answer of the old version. */
   double mMeanMs = 120.0;
   VersionFault mFault;
-  /** Part of all upstreams, old and new, that fail answers at random. */
+  /** Share of all upstreams, old and new, that fail answers at random. */
   double mGrayFailureShare = 0.0;
-  /** Messages lost between entries and the leader. */
+  /** Share of messages between entries and the leader that are lost. */
   double mMessageLoss = 0.0;
-  /** The leader is killed then, and a new one leads 1.2 s later; 0: never. */
+  /**
+   * The leader is killed at this time, and a new one leads 1.2 s later; 0 for
+   * never.
+   */
   int mLeaderKilledMs = 0;
-  /** Or after so many bad answers. */
+  /** The leader is killed after this many bad answers; 0 for never. */
   std::uint64_t mLeaderKilledAtBad = 0;
-  /** Each entry is frozen or cut off for a second about this often; 0: never.
+  /**
+   * Mean time between disruptions of each entry; it is frozen or partitioned
+   * for a second. 0 for never.
    */
   int mDisruptionPeriodMs = 0;
 };
@@ -54,19 +62,19 @@
   RolloutState mState = RolloutState::kRunning;
   int mEndedMs = 0;
   std::string mReason;
-  /** From the order to its duration. */
+  /** Requests between the order and the end of its duration. */
   std::uint64_t mRequests = 0;
   std::uint64_t mNew = 0;
   std::uint64_t mBadAnswers = 0;
-  /** To the new version, later than 5 s after its 50th bad answer. */
+  /** Requests to the new version later than 5 s after its 50th bad answer. */
   std::uint64_t mLate = 0;
-  /** Running at the old version when the rollout was completed. */
+  /** Requests running at the old version when the rollout was completed. */
   std::uint64_t mInterrupted = 0;
-  /** Allowed by the bound on exposure. */
+  /** True if mNew exceeds the bound on exposure. */
   bool mOverExposed = false;
 };
 
-/** Plays one rollout without a network. */
+/** Simulates one rollout without a network. */
 RolloutSimulationOutcome
 SimulateRollout(const RolloutSimulationOptions& aOptions);
 
--- a/test/rollout/RolloutSimulationTest.cpp
+++ b/test/rollout/RolloutSimulationTest.cpp
@@ -1,6 +1,6 @@
 // ctest-labels: promise-rollout
-// Plays rollouts of sound and of bad versions over many entries, with and
-// without trouble, and looks at what the new version got and how each ended.
+// Simulates rollouts of sound and bad versions over many entries, with and
+// without disruptions, and checks the new version's requests and the outcome.
 
 #include "rollout/RolloutSimulation.h"
 
@@ -46,12 +46,14 @@
          "), new " + std::to_string(aOutcome.mNew) + " of " +
          std::to_string(aOutcome.mRequests) + ", bad " +
          std::to_string(aOutcome.mBadAnswers) + ", late " +
-         std::to_string(aOutcome.mLate) + ", cut " +
+         std::to_string(aOutcome.mLate) + ", interrupted " +
          std::to_string(aOutcome.mInterrupted);
 }
 
-/** Route with a seventh of the requests: on the smallest deployment twelve of
- * them are tried before the shift, too few to show by. */
+/**
+ * The route has a seventh of the requests. On the smallest deployment, twelve
+ * of them reach the new version before the shift, too few to show the fault.
+ */
 const VersionFault kRareRoute = { .mFails = 0.6, .mRareRouteOnly = true };
 
 const std::vector<VersionFault> kFaults = {
@@ -65,7 +67,8 @@
 
 } // namespace
 
-// Guards against a bad version that reaches more callers than it may.
+// Guards against a bad version that receives more requests than the bound
+// allows.
 TEST_CASE("ABadVersionKeepsTheBoundsAndIsRolledBack")
 {
   for (const Deployment& deployment : kDeployments) {
@@ -87,7 +90,7 @@
   }
 }
 
-// Guards against a route whose few requests are hardly tried.
+// Guards against a fault on a route that sends few requests to the new version.
 TEST_CASE("AVersionThatIsBadOnOneRouteIsRolledBack")
 {
   for (std::size_t place = 1; place < kDeployments.size(); ++place) {
@@ -119,7 +122,7 @@
   }
 }
 
-// Guards against sound versions that are turned back, or cut callers short.
+// Guards against rolling back sound versions, and against interrupted requests.
 TEST_CASE("ASoundVersionIsCompletedInTime")
 {
   for (const Deployment& deployment : kDeployments) {
@@ -137,7 +140,7 @@
   }
 }
 
-// Guards against a rollback that hangs on one leader.
+// Guards against a rollback that depends on one leader.
 TEST_CASE("ABadVersionKeepsTheBoundsWhenTheLeaderIsKilled")
 {
   for (const Deployment& deployment : kDeployments) {
@@ -155,7 +158,7 @@
   }
 }
 
-// Guards against a rollout that a new leader gives up, or forgets.
+// Guards against a rollout that a new leader aborts or loses.
 TEST_CASE("ASoundVersionIsCompletedByTheNextLeader")
 {
   for (const int killed : { 500, 3000, 6500, 8000, 9500 }) {
@@ -168,8 +171,9 @@
   }
 }
 
-// Prints how often bad versions are missed and sound ones rolled back, for
-// docs/design/rollout.md; PERIDOTSPOOL_PLAYS sets the seeds of each case.
+// Prints how often bad versions are missed and sound ones are rolled back, for
+// docs/design/rollout.md. PERIDOTSPOOL_PLAYS sets the number of seeds of each
+// case.
 TEST_CASE("Figures", "[.]")
 {
   const char* given = std::getenv("PERIDOTSPOOL_PLAYS");
--- a/test/rollout/RolloutTableTest.cpp
+++ b/test/rollout/RolloutTableTest.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("AnOrderThatIsSentAgainChangesNothing")
+TEST_CASE("ARepeatedOrderChangesNothing")
 {
   RolloutTable table;
   CHECK(table.Start(Order("v2", 100)) == OrderVerdict::kStarted);
@@ -71,8 +71,8 @@
   CHECK(table.Start(Order("v2", 300)) == OrderVerdict::kInForce);
 }
 
-// Guards against a state that grows with each order.
-TEST_CASE("ThereIsABoundOnKeptRollouts")
+// Guards against replicated state that grows with each order.
+TEST_CASE("TheNumberOfStoredRolloutsIsBounded")
 {
   RolloutTable table;
   table.Start(Order("v0", 0));
