--- a/include/peridotspool/fleet/FleetPlanner.h
+++ b/include/peridotspool/fleet/FleetPlanner.h
@@ -53,17 +53,17 @@
     std::optional<TimePoint> mSurplusSince;
   };
 
-  void Take(const DemandEvent& aEvent);
-  void Take(const OffersEvent& aEvent);
-  void Take(const ListedEvent& aEvent);
-  void Take(const StartedEvent& aEvent);
-  void Take(const StartRefusedEvent& aEvent);
-  void Take(const ServingEvent& aEvent);
-  void Take(const ReclaimNoticeEvent& aEvent);
-  void Take(const InstanceGoneEvent& aEvent);
-  void Take(const DrainedEvent& aEvent);
-  void Take(const LatencyEvent& aEvent);
-  void Take(const FleetTickEvent& aEvent);
+  void Handle(const DemandEvent& aEvent);
+  void Handle(const OffersEvent& aEvent);
+  void Handle(const ListedEvent& aEvent);
+  void Handle(const StartedEvent& aEvent);
+  void Handle(const StartRefusedEvent& aEvent);
+  void Handle(const ServingEvent& aEvent);
+  void Handle(const ReclaimNoticeEvent& aEvent);
+  void Handle(const InstanceGoneEvent& aEvent);
+  void Handle(const DrainedEvent& aEvent);
+  void Handle(const LatencyEvent& aEvent);
+  void Handle(const FleetTickEvent& aEvent);
 
   void HandleUnlisted(const InstanceInfo& aInstance,
                       std::map<InstanceName, InstanceInfo>& aListed);
--- a/include/peridotspool/fleet/OrderDispatcher.h
+++ b/include/peridotspool/fleet/OrderDispatcher.h
@@ -63,13 +63,13 @@
     bool mSent = false;
   };
 
-  void Take(const EngineAnnouncedEvent& aEvent);
-  void Take(const EngineGoneEvent& aEvent);
-  void Take(const DesiredSetupEvent& aEvent);
-  void Take(const SetupReadEvent& aEvent);
-  void Take(const FencingNumberIssuedEvent& aEvent);
-  void Take(const OrderEndedEvent& aEvent);
-  void Take(const OrderTickEvent& aEvent);
+  void Handle(const EngineAnnouncedEvent& aEvent);
+  void Handle(const EngineGoneEvent& aEvent);
+  void Handle(const DesiredSetupEvent& aEvent);
+  void Handle(const SetupReadEvent& aEvent);
+  void Handle(const FencingNumberIssuedEvent& aEvent);
+  void Handle(const OrderEndedEvent& aEvent);
+  void Handle(const OrderTickEvent& aEvent);
 
   bool MayOrder(const Engine& aEngine) const;
   void ReadUnknownSetups();
--- a/src/fleet/FleetPlanner.cpp
+++ b/src/fleet/FleetPlanner.cpp
@@ -19,7 +19,7 @@
 FleetPlanner::Step(const FleetEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   return std::exchange(mEffects, {});
 }
 
@@ -31,7 +31,7 @@
 }
 
 void
-FleetPlanner::Take(const DemandEvent& aEvent)
+FleetPlanner::Handle(const DemandEvent& aEvent)
 {
   std::map<ServiceName, Service> services;
   for (const ServiceDemand& demand : aEvent.mDemands) {
@@ -50,13 +50,13 @@
 }
 
 void
-FleetPlanner::Take(const OffersEvent& aEvent)
+FleetPlanner::Handle(const OffersEvent& aEvent)
 {
   mOffers = aEvent.mOffers;
 }
 
 void
-FleetPlanner::Take(const ListedEvent& aEvent)
+FleetPlanner::Handle(const ListedEvent& aEvent)
 {
   std::map<InstanceName, InstanceInfo> instances;
   for (const InstanceInfo& info : aEvent.mInstances) {
@@ -99,7 +99,7 @@
 }
 
 void
-FleetPlanner::Take(const StartedEvent& aEvent)
+FleetPlanner::Handle(const StartedEvent& aEvent)
 {
   const auto start = mStarts.find(aEvent.mStart);
   if (start == mStarts.end()) {
@@ -117,7 +117,7 @@
 }
 
 void
-FleetPlanner::Take(const StartRefusedEvent& aEvent)
+FleetPlanner::Handle(const StartRefusedEvent& aEvent)
 {
   Refuse(aEvent.mStart);
 }
@@ -138,7 +138,7 @@
 }
 
 void
-FleetPlanner::Take(const ServingEvent& aEvent)
+FleetPlanner::Handle(const ServingEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance != mInstances.end() &&
@@ -148,7 +148,7 @@
 }
 
 void
-FleetPlanner::Take(const ReclaimNoticeEvent& aEvent)
+FleetPlanner::Handle(const ReclaimNoticeEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance == mInstances.end() ||
@@ -160,7 +160,7 @@
 }
 
 void
-FleetPlanner::Take(const InstanceGoneEvent& aEvent)
+FleetPlanner::Handle(const InstanceGoneEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance == mInstances.end()) {
@@ -174,7 +174,7 @@
 }
 
 void
-FleetPlanner::Take(const DrainedEvent& aEvent)
+FleetPlanner::Handle(const DrainedEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance != mInstances.end() &&
@@ -187,7 +187,7 @@
 // above the target, or below half of it, for a while. The gap between the two
 // thresholds prevents oscillation.
 void
-FleetPlanner::Take(const LatencyEvent& aEvent)
+FleetPlanner::Handle(const LatencyEvent& aEvent)
 {
   const auto found = mServices.find(aEvent.mService);
   if (found == mServices.end()) {
@@ -218,7 +218,7 @@
 }
 
 void
-FleetPlanner::Take(const FleetTickEvent&)
+FleetPlanner::Handle(const FleetTickEvent&)
 {
   RecordUse();
   ExpireStarts();
--- a/src/fleet/OrderDispatcher.cpp
+++ b/src/fleet/OrderDispatcher.cpp
@@ -25,12 +25,12 @@
 OrderDispatcher::Step(const OrderEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   return std::exchange(mEffects, {});
 }
 
 void
-OrderDispatcher::Take(const EngineAnnouncedEvent& aEvent)
+OrderDispatcher::Handle(const EngineAnnouncedEvent& aEvent)
 {
   Engine& engine = mEngines[aEvent.mEngine];
   if (aEvent.mIncarnation < engine.mIncarnation) {
@@ -53,7 +53,7 @@
 }
 
 void
-OrderDispatcher::Take(const EngineGoneEvent& aEvent)
+OrderDispatcher::Handle(const EngineGoneEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
   if (engine == mEngines.end()) {
@@ -66,7 +66,7 @@
 }
 
 void
-OrderDispatcher::Take(const DesiredSetupEvent& aEvent)
+OrderDispatcher::Handle(const DesiredSetupEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
   if (engine != mEngines.end()) {
@@ -75,7 +75,7 @@
 }
 
 void
-OrderDispatcher::Take(const SetupReadEvent& aEvent)
+OrderDispatcher::Handle(const SetupReadEvent& aEvent)
 {
   const auto engine = mEngines.find(aEvent.mEngine);
   // A response to a query sent before the last order ended describes an
@@ -88,7 +88,7 @@
 }
 
 void
-OrderDispatcher::Take(const FencingNumberIssuedEvent& aEvent)
+OrderDispatcher::Handle(const FencingNumberIssuedEvent& aEvent)
 {
   const auto order = mOrders.find(aEvent.mOrder);
   if (order == mOrders.end() || order->second.mSent || mStale) {
@@ -105,7 +105,7 @@
 }
 
 void
-OrderDispatcher::Take(const OrderEndedEvent& aEvent)
+OrderDispatcher::Handle(const OrderEndedEvent& aEvent)
 {
   if (aEvent.mOutcome == OrderOutcome::kStale) {
     mStale = true;
@@ -114,7 +114,7 @@
 }
 
 void
-OrderDispatcher::Take(const OrderTickEvent&)
+OrderDispatcher::Handle(const OrderTickEvent&)
 {
   ExpireOrders();
   ReadUnknownSetups();
