--- a/test/fleet/OrderDispatcherTest.cpp
+++ b/test/fleet/OrderDispatcherTest.cpp
@@ -45,10 +45,10 @@
     if (const auto* read = std::get_if<ReadSetupEffect>(&aEffect)) {
       Step(
         SetupReadEvent{ read->mRead, read->mEngine, mSetups[read->mEngine] });
-    } else if (const auto* take =
+    } else if (const auto* request =
                  std::get_if<RequestFencingNumberEffect>(&aEffect)) {
       mNumber = mNumber.Next();
-      Step(FencingNumberIssuedEvent{ take->mOrder, mNumber });
+      Step(FencingNumberIssuedEvent{ request->mOrder, mNumber });
     } else if (const auto* send = std::get_if<SendOrderEffect>(&aEffect)) {
       mSent.push_back(*send);
       if (mApplyOrders) {
