--- a/test/request/ServiceDeskTest.cpp
+++ b/test/request/ServiceDeskTest.cpp
@@ -88,7 +88,7 @@
   CHECK(std::holds_alternative<routing::Admitted>(Ask(desk, "a")));
 }
 
-TEST_CASE("CustomerOverItsConcurrencyIsRefusedAtOnceAndToldWhenToComeBack")
+TEST_CASE("CustomerOverItsConcurrencyIsRefusedAtOnceWithRetryAfter")
 {
   ServiceDesk desk(MemberId(1), {});
   desk.TakeSettings(TreeWithLimits("100/s", "1"));
--- a/test/storage/ControlStoreTest.cpp
+++ b/test/storage/ControlStoreTest.cpp
@@ -73,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("WritesComeBackAsTheSameState")
+TEST_CASE("WritesAreReadBackAsTheSameState")
 {
   const TemporaryFolder folder;
   LastReason reason;
--- a/test/storage/RecordFileTest.cpp
+++ b/test/storage/RecordFileTest.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("RecordsComeBackInOrder")
+TEST_CASE("RecordsAreReadBackInOrder")
 {
   const TemporaryFolder folder;
   const std::string path = folder.Path() + "/records";
