--- a/bench/ControlBench.cpp
+++ b/bench/ControlBench.cpp
@@ -165,16 +165,16 @@
   options.mControls.assign(static_cast<std::size_t>(aState.range(0)), {});
   membership::ControlSession session(options);
   TimePoint now{ std::chrono::seconds(100) };
-  membership::HeartbeatAnswer answer{ .mSequence = 0,
-                                      .mLeads = true,
-                                      .mLeaderHint =
-                                        Address{ "10.0.0.1", 7000 },
-                                      .mStanding =
-                                        membership::Standing::kActive,
-                                      .mMember = MemberId(1000),
-                                      .mConfirmed = Revision(100000),
-                                      .mEpoch = EpochNumber(10000),
-                                      .mLease = std::chrono::seconds(1) };
+  membership::HeartbeatResponse answer{ .mSequence = 0,
+                                        .mLeads = true,
+                                        .mLeaderHint =
+                                          Address{ "10.0.0.1", 7000 },
+                                        .mMembershipStatus =
+                                          membership::MembershipStatus::kActive,
+                                        .mMember = MemberId(1000),
+                                        .mConfirmed = Revision(100000),
+                                        .mEpoch = EpochNumber(10000),
+                                        .mLease = std::chrono::seconds(1) };
   std::size_t sent = 0;
   std::size_t received = 0;
   for (auto _ : aState) {
--- a/include/peridotspool/membership/ControlSession.h
+++ b/include/peridotspool/membership/ControlSession.h
@@ -65,7 +65,7 @@
   /** The newest epoch that was taken. */
   const EpochMap& Epoch() const { return mEpoch; }
   /** The newest settings that were taken. */
-  Revision TakenRevision() const { return mTaken; }
+  Revision ReceivedRevision() const { return mReceived; }
   Revision InForceRevision() const { return mInForce; }
   /** The newest revision that a majority is known to have committed. */
   Revision ConfirmedRevision() const { return mConfirmed; }
@@ -80,24 +80,24 @@
     Revision mInForce;
   };
 
-  void Take(const FromControlEvent& aEvent);
-  void Take(const SettingsInForceEvent& aEvent);
-  void Take(const LeaveEvent& aEvent);
-  void Take(const LeftNothingEvent& aEvent);
-  void Take(const SuspectsEvent& aEvent);
-  void Take(const SessionTickEvent& aEvent);
+  void Handle(const FromControlEvent& aEvent);
+  void Handle(const SettingsInForceEvent& aEvent);
+  void Handle(const LeaveEvent& aEvent);
+  void Handle(const HandoverCompleteEvent& aEvent);
+  void Handle(const SuspectsEvent& aEvent);
+  void Handle(const SessionTickEvent& aEvent);
 
-  void TakeMessage(const HeartbeatAnswer& aAnswer);
-  void TakeMessage(const SettingsPush& aPush);
-  void TakeMessage(const EpochPush& aPush);
-  void TakeStanding(const HeartbeatAnswer& aAnswer);
+  void HandleMessage(const HeartbeatResponse& aResponse);
+  void HandleMessage(const SettingsPush& aPush);
+  void HandleMessage(const EpochPush& aPush);
+  void ApplyMembershipStatus(const HeartbeatResponse& aResponse);
   std::optional<std::string> TextOf(const SettingsPush& aPush) const;
-  void TakeChange(const EpochChange& aChange);
+  void HandleEpochChange(const EpochChange& aChange);
 
   Duration HeartbeatPeriod() const;
   bool SeeksLeader() const;
   void SendHeartbeat(bool aToAll);
-  void TakeHints(const HeartbeatAnswer& aAnswer);
+  void AddControlHints(const HeartbeatResponse& aResponse);
   std::vector<Address> Reachable() const;
   void Send(const std::vector<Address>& aTo, const FromEntryMessage& aMessage);
   const SentHeartbeat* FindSent(std::uint64_t aSequence) const;
@@ -106,7 +106,7 @@
   std::vector<Address> mControls;
   /** So many of them, from the first, vote; 0 if unknown. */
   std::size_t mVoters = 0;
-  std::optional<TimePoint> mLeaderHeardAt;
+  std::optional<TimePoint> mLastLeaderResponseAt;
   ControlSessionEffects mEffects;
   TimePoint mNow;
   std::optional<TimePoint> mStartedAt;
@@ -116,16 +116,16 @@
   MemberId mMember;
   bool mRemoved = false;
   bool mLeaving = false;
-  bool mDrainTold = false;
+  bool mDrainNotified = false;
   bool mDone = false;
   std::vector<MemberId> mSuspects;
   EpochMap mEpoch;
-  Revision mTaken;
+  Revision mReceived;
   std::string mText;
   Revision mInForce;
   Revision mConfirmed;
   /** When the entry's settings were last known to be the newest. */
-  std::optional<TimePoint> mUpToDateAt;
+  std::optional<TimePoint> mLastConfirmedAt;
   TimePoint mLeaseEnd;
 };
 
--- a/include/peridotspool/membership/ControlSessionEffect.h
+++ b/include/peridotspool/membership/ControlSessionEffect.h
@@ -28,7 +28,8 @@
 struct RemovedEffect
 {};
 
-/** The control log wants this entry to leave: drain, then LeftNothingEvent. */
+/** The control log wants this entry to leave: drain, then
+ * HandoverCompleteEvent. */
 struct DrainEffect
 {};
 
--- a/include/peridotspool/membership/ControlSessionEvent.h
+++ b/include/peridotspool/membership/ControlSessionEvent.h
@@ -24,7 +24,7 @@
 {};
 
 /** A leaving entry has handed over all that it had. */
-struct LeftNothingEvent
+struct HandoverCompleteEvent
 {};
 
 /** Members that this entry can't reach now; replaces the earlier list. */
@@ -40,7 +40,7 @@
 using ControlSessionEvent = std::variant<FromControlEvent,
                                          SettingsInForceEvent,
                                          LeaveEvent,
-                                         LeftNothingEvent,
+                                         HandoverCompleteEvent,
                                          SuspectsEvent,
                                          SessionTickEvent>;
 
--- a/include/peridotspool/membership/ControlSessionOptions.h
+++ b/include/peridotspool/membership/ControlSessionOptions.h
@@ -19,9 +19,9 @@
   std::vector<Address> mControls;
   Duration mHeartbeatPeriod = std::chrono::milliseconds(300);
   /** An entry that has no settings yet serves nobody: it asks this often... */
-  Duration mEagerPeriod = std::chrono::milliseconds(50);
+  Duration mInitialHeartbeatPeriod = std::chrono::milliseconds(50);
   /** ...for this long from its start. */
-  Duration mEagerFor = std::chrono::seconds(5);
+  Duration mInitialPhase = std::chrono::seconds(5);
   /**
    * How long the entry takes new work after the last heartbeat for which a
    * majority of control replicas confirmed that its settings were the newest.
--- a/include/peridotspool/membership/EntryDirectory.h
+++ b/include/peridotspool/membership/EntryDirectory.h
@@ -17,21 +17,21 @@
 struct EntryDirectoryOptions
 {
   /** The shortest notice that a reclaim gives. */
-  Duration mShortestNotice = std::chrono::seconds(30);
+  Duration mMinReclaimNotice = std::chrono::seconds(30);
   /** How many addresses an answer has, at most. */
   std::size_t mMaxEntries = 8;
   std::uint64_t mRandomSeed = 1;
 };
 
 /** Which addresses a caller is to use, the first one first. */
-struct DirectoryAnswer
+struct DirectoryResponse
 {
   EpochNumber mEpoch;
   std::vector<Address> mAddresses;
-  /** How long a caller may keep the answer. */
-  Duration mTimeToKeep{ 0 };
+  /** How long a caller may keep the response. */
+  Duration mMaxAge{ 0 };
 
-  auto operator<=>(const DirectoryAnswer&) const = default;
+  auto operator<=>(const DirectoryResponse&) const = default;
 };
 
 /**
@@ -46,15 +46,15 @@
 public:
   explicit EntryDirectory(EntryDirectoryOptions aOptions);
 
-  void TakeEpoch(const EpochMap& aMap);
+  void SetEpoch(const EpochMap& aMap);
   /** Entries that can't be reached now: left out while others remain. */
-  void TakeSuspects(std::set<MemberId> aSuspects);
+  void SetSuspects(std::set<MemberId> aSuspects);
   /** An entry's share of callers against others'; 1 unless told. */
-  void TakeWeight(MemberId aMember, double aWeight);
+  void SetEntryWeight(MemberId aMember, double aWeight);
   /** This entry itself is leaving: left out before an epoch says so. */
-  void TakeLeaving(MemberId aMember);
+  void MarkLeaving(MemberId aMember);
 
-  DirectoryAnswer Answer(const Region& aRegion);
+  DirectoryResponse MakeResponse(const Region& aRegion);
 
 private:
   std::vector<const Member*> Candidates() const;
--- a/include/peridotspool/membership/EntryMessage.h
+++ b/include/peridotspool/membership/EntryMessage.h
@@ -80,7 +80,7 @@
 };
 BOOST_DESCRIBE_STRUCT(EntryEnvelope, (), (mNonce, mMessage))
 
-enum class Standing
+enum class MembershipStatus
 {
   /** Not a member yet, or the answering replica can't say. */
   kUnknown,
@@ -89,17 +89,17 @@
   /** This process's membership is over for good. */
   kRemoved,
 };
-BOOST_DESCRIBE_ENUM(Standing, kUnknown, kActive, kDraining, kRemoved)
+BOOST_DESCRIBE_ENUM(MembershipStatus, kUnknown, kActive, kDraining, kRemoved)
 
 /** The answer to a heartbeat. */
-struct HeartbeatAnswer
+struct HeartbeatResponse
 {
   std::uint64_t mSequence = 0;
   /** True iff the replica leads and its lease holds; else only a hint. */
   bool mLeads = false;
   std::optional<Address> mLeaderHint;
   /** From here on only a leader's answer counts. */
-  Standing mStanding = Standing::kUnknown;
+  MembershipStatus mMembershipStatus = MembershipStatus::kUnknown;
   MemberId mMember;
   /** The newest committed settings, confirmed by a majority of replicas. */
   Revision mConfirmed;
@@ -112,14 +112,14 @@
   /** How many of them vote; 0 if that isn't said. */
   std::uint32_t mVoters = 0;
 
-  auto operator<=>(const HeartbeatAnswer&) const = default;
+  auto operator<=>(const HeartbeatResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(HeartbeatAnswer,
+BOOST_DESCRIBE_STRUCT(HeartbeatResponse,
                       (),
                       (mSequence,
                        mLeads,
                        mLeaderHint,
-                       mStanding,
+                       mMembershipStatus,
                        mMember,
                        mConfirmed,
                        mEpoch,
@@ -155,6 +155,6 @@
 };
 BOOST_DESCRIBE_STRUCT(EpochPush, (), (mWhole, mChanges))
 
-using ToEntryMessage = std::variant<HeartbeatAnswer, SettingsPush, EpochPush>;
+using ToEntryMessage = std::variant<HeartbeatResponse, SettingsPush, EpochPush>;
 
 } // namespace peridotspool::membership
--- a/include/peridotspool/membership/UpstreamDirectory.h
+++ b/include/peridotspool/membership/UpstreamDirectory.h
@@ -32,9 +32,9 @@
 {
 public:
   /** Takes a push; returns the upstreams that changed. */
-  std::vector<UpstreamName> Take(const Address& aFrom,
-                                 const RegistryPush& aPush,
-                                 TimePoint aNow);
+  std::vector<UpstreamName> ApplyPush(const Address& aFrom,
+                                      const RegistryPush& aPush,
+                                      TimePoint aNow);
   /** What to tell a registry: what is known of it. */
   RegistryPull PullFor(const Address& aRegistry) const;
   /** Forgets upstreams that are gone, or silent for long. */
@@ -47,26 +47,26 @@
   }
 
 private:
-  struct Origin
+  struct RegistryState
   {
-    RegistryLife mLife;
+    RegistryIncarnation mRegistryIncarnation;
     std::uint64_t mVersion = 0;
     /** Whom it speaks of, and whether it hears them. */
-    std::unordered_map<UpstreamName, bool> mHears;
+    std::unordered_map<UpstreamName, bool> mReceivesHeartbeats;
   };
 
-  bool TakeIncarnation(const UpstreamReport& aNews);
+  bool UpdateIncarnation(const UpstreamReport& aReport);
   bool Merge(const RegistryRow& aRow, TimePoint aNow);
-  void NoteGoodbye(const RegistryRow& aRow, TimePoint aNow);
-  bool EndByGoodbye(const UpstreamName& aName);
-  bool MergeSilence(const UpstreamName& aName, TimePoint aNow);
+  void RecordDeregistration(const RegistryRow& aRow, TimePoint aNow);
+  bool ApplyDeregistration(const UpstreamName& aName);
+  bool UpdateSilence(const UpstreamName& aName, TimePoint aNow);
 
-  std::map<Address, Origin> mOrigins;
+  std::map<Address, RegistryState> mRegistries;
   std::unordered_map<UpstreamName, KnownUpstream> mKnown;
   /** When an upstream last said goodbye without naming its incarnation. */
-  std::unordered_map<UpstreamName, TimePoint> mGoodbyes;
+  std::unordered_map<UpstreamName, TimePoint> mDeregistrations;
   /** Since when an upstream is gone or silent. */
-  std::unordered_map<UpstreamName, TimePoint> mQuietSince;
+  std::unordered_map<UpstreamName, TimePoint> mInactiveSince;
 };
 
 } // namespace peridotspool::membership
--- a/include/peridotspool/membership/UpstreamRegistry.h
+++ b/include/peridotspool/membership/UpstreamRegistry.h
@@ -13,7 +13,7 @@
 struct UpstreamRegistryOptions
 {
   /** Random; differs for each start of the process, never zero. */
-  RegistryLife mLife;
+  RegistryIncarnation mRegistryIncarnation;
   /** An upstream that was not heard for this long counts as silent. */
   Duration mSilentAfter = std::chrono::milliseconds(4500);
   /** Rows of silent and gone upstreams are forgotten after this long. */
@@ -21,15 +21,15 @@
   /** Pushes that were not confirmed for this long are sent again. */
   Duration mResendAfter = std::chrono::milliseconds(250);
   /** Pushes to one subscriber that go out at once... */
-  std::uint32_t mMostQuick = 3;
+  std::uint32_t mMaxBurst = 3;
   /** ...before they are spaced, until there was none for this long. */
-  Duration mQuietAfter = std::chrono::milliseconds(100);
+  Duration mBurstResetAfter = std::chrono::milliseconds(100);
   Duration mSpacing = std::chrono::milliseconds(10);
   /** The same for each subscriber, where there are many. */
-  Duration mSpacingEach = std::chrono::microseconds(500);
+  Duration mSpacingPerSubscriber = std::chrono::microseconds(500);
   /** An incarnation first heard this soon after a goodbye is the one that said
    * it: an upstream goes on serving for longer than that. */
-  Duration mLateReportFor = kLateReportFor;
+  Duration mLateHeartbeatWindow = kLateHeartbeatWindow;
   /** Silence is looked for this often. */
   Duration mSweepPeriod = std::chrono::milliseconds(100);
   /** A subscriber that did not pull for this long has gone. */
@@ -59,14 +59,15 @@
   explicit UpstreamRegistry(UpstreamRegistryOptions aOptions);
 
   /** Takes a heartbeat; returns what its subscribers are to be told at once. */
-  std::vector<RegistrySend> TakeReport(UpstreamReport aReport, TimePoint aNow);
+  std::vector<RegistrySend> HandleHeartbeat(UpstreamReport aReport,
+                                            TimePoint aNow);
   /** Takes a goodbye; one that names no incarnation ends the newest one. */
-  std::vector<RegistrySend> TakeGoodbye(const UpstreamName& aName,
-                                        Incarnation aIncarnation,
-                                        TimePoint aNow);
-  std::vector<RegistrySend> TakePull(const Address& aFrom,
-                                     const RegistryPull& aPull,
-                                     TimePoint aNow);
+  std::vector<RegistrySend> HandleDeregistration(const UpstreamName& aName,
+                                                 Incarnation aIncarnation,
+                                                 TimePoint aNow);
+  std::vector<RegistrySend> HandlePull(const Address& aFrom,
+                                       const RegistryPull& aPull,
+                                       TimePoint aNow);
   /** About every 10 ms: silence, and pushes that waited or got lost. */
   std::vector<RegistrySend> Tick(TimePoint aNow);
 
@@ -77,14 +78,14 @@
   struct Row
   {
     RegistryRow mRow;
-    TimePoint mHeardAt;
+    TimePoint mLastHeardAt;
     /** When its incarnation was first heard. */
-    TimePoint mKnownSince;
+    TimePoint mIncarnationSeenAt;
     /** When it last said goodbye without naming its incarnation. */
-    std::optional<TimePoint> mGoodbyeAt;
+    std::optional<TimePoint> mDeregisteredAt;
     std::uint64_t mVersion = 0;
     /** Subscribers were told all of it before its last change. */
-    bool mTold = false;
+    bool mPreviouslyPushed = false;
   };
   struct Subscriber
   {
@@ -92,23 +93,23 @@
     std::uint64_t mPushed = 0;
     TimePoint mPushedAt;
     /** Pushes with little time between them, up to the last one. */
-    std::uint32_t mQuick = 0;
+    std::uint32_t mBurstCount = 0;
     /** Since when nothing more was confirmed of what was pushed. */
-    TimePoint mWaitsSince;
-    TimePoint mHeardAt;
+    TimePoint mUnconfirmedSince;
+    TimePoint mLastPullAt;
   };
 
-  void Change(Row& aRow);
-  std::vector<RegistrySend> Replace(Row& aRow,
-                                    UpstreamReport aReport,
-                                    TimePoint aNow);
-  bool WasOvertaken(const Row& aRow, TimePoint aNow) const;
-  static RegistryRow Told(const Row& aRow, TimePoint aNow);
+  void MarkChanged(Row& aRow);
+  std::vector<RegistrySend> ReplaceIncarnation(Row& aRow,
+                                               UpstreamReport aReport,
+                                               TimePoint aNow);
+  bool IsInLateHeartbeatWindow(const Row& aRow, TimePoint aNow) const;
+  static RegistryRow MakePushRow(const Row& aRow, TimePoint aNow);
   Duration Spacing() const;
   bool IsLost(const Subscriber& aSubscriber, TimePoint aNow) const;
   bool IsDue(const Subscriber& aSubscriber, TimePoint aNow) const;
   std::vector<RegistrySend> PushAll(TimePoint aNow);
-  bool FindSilent(TimePoint aNow);
+  bool MarkSilentRows(TimePoint aNow);
   RegistrySend Push(const Address& aTo,
                     Subscriber& aSubscriber,
                     TimePoint aNow);
@@ -119,7 +120,7 @@
   std::map<std::uint64_t, UpstreamName> mByVersion;
   std::map<Address, Subscriber> mSubscribers;
   std::uint64_t mVersion = 1;
-  TimePoint mSweptAt;
+  TimePoint mLastSweepAt;
 };
 
 } // namespace peridotspool::membership
--- a/include/peridotspool/request/EntryNode.h
+++ b/include/peridotspool/request/EntryNode.h
@@ -44,7 +44,7 @@
   EntryNodeEffects Step(const EntryNodeEvent& aEvent, TimePoint aNow);
 
   /** The answer of `GET /v1/entries`. */
-  membership::DirectoryAnswer Directory(const Region& aRegion);
+  membership::DirectoryResponse Directory(const Region& aRegion);
   EntryNodeStatus Status(TimePoint aNow) const;
   /** The name of a member, for answers that tell who ran a request. */
   EntryName NameOf(MemberId aMember) const;
--- a/src/control/ControlEntries.cpp
+++ b/src/control/ControlEntries.cpp
@@ -10,10 +10,10 @@
 using membership::EntryHeartbeat;
 using membership::EntryNonce;
 using membership::EpochMap;
-using membership::HeartbeatAnswer;
+using membership::HeartbeatResponse;
 using membership::Member;
+using membership::MembershipStatus;
 using membership::MemberState;
-using membership::Standing;
 
 namespace {
 
@@ -59,19 +59,19 @@
   if (session == nullptr) {
     return;
   }
-  const HeartbeatAnswer answer = AnswerFor(aNonce, aHeartbeat);
+  const HeartbeatResponse answer = AnswerFor(aNonce, aHeartbeat);
   if (answer.mLeads || aHeartbeat.mSeeksLeader) {
     SendToEntry(aNonce, answer);
   }
-  if (answer.mLeads && answer.mStanding != Standing::kRemoved) {
+  if (answer.mLeads && answer.mMembershipStatus != MembershipStatus::kRemoved) {
     PushIfBehind(aNonce, *session);
   }
 }
 
-HeartbeatAnswer
+HeartbeatResponse
 ControlNodeState::AnswerFor(EntryNonce aNonce, const EntryHeartbeat& aHeartbeat)
 {
-  HeartbeatAnswer answer;
+  HeartbeatResponse answer;
   answer.mSequence = aHeartbeat.mSequence;
   answer.mLeaderHint = LeaderAddress();
   // Without the lease another replica may lead and have committed newer
@@ -104,7 +104,7 @@
 void
 ControlNodeState::TakeStanding(EntryNonce aNonce,
                                const EntryHeartbeat& aHeartbeat,
-                               HeartbeatAnswer& aAnswer)
+                               HeartbeatResponse& aAnswer)
 {
   const auto& members = State().mMembership;
   const auto member = members.mNonces.find(aNonce);
@@ -113,13 +113,15 @@
     const bool over =
       aHeartbeat.mMember.IsSet() ||
       std::find(removed.begin(), removed.end(), aNonce) != removed.end();
-    aAnswer.mStanding = over ? Standing::kRemoved : Standing::kUnknown;
+    aAnswer.mMembershipStatus =
+      over ? MembershipStatus::kRemoved : MembershipStatus::kUnknown;
     return;
   }
   const Member* info = FindMember(members.mCurrent, member->second);
   const bool draining =
     info != nullptr && info->mState == MemberState::kDraining;
-  aAnswer.mStanding = draining ? Standing::kDraining : Standing::kActive;
+  aAnswer.mMembershipStatus =
+    draining ? MembershipStatus::kDraining : MembershipStatus::kActive;
   aAnswer.mMember = member->second;
   aAnswer.mLease = mOptions.mEntryLease;
   if (MemberView* view = mSessions.Member(member->second)) {
--- a/src/control/ControlNodeState.h
+++ b/src/control/ControlNodeState.h
@@ -104,12 +104,12 @@
                  const membership::SettingsPull& aPull);
   void TakeEntry(membership::EntryNonce aNonce,
                  const membership::EpochPull& aPull);
-  membership::HeartbeatAnswer AnswerFor(
+  membership::HeartbeatResponse AnswerFor(
     membership::EntryNonce aNonce,
     const membership::EntryHeartbeat& aHeartbeat);
   void TakeStanding(membership::EntryNonce aNonce,
                     const membership::EntryHeartbeat& aHeartbeat,
-                    membership::HeartbeatAnswer& aAnswer);
+                    membership::HeartbeatResponse& aAnswer);
   void SendToEntry(membership::EntryNonce aNonce,
                    membership::ToEntryMessage aMessage);
   void PushIfBehind(membership::EntryNonce aNonce, EntrySession& aSession);
--- a/src/membership/ControlSession.cpp
+++ b/src/membership/ControlSession.cpp
@@ -11,11 +11,11 @@
 /** Heartbeats whose answers still count. */
 constexpr std::size_t kMaxSent = 64;
 /** A control replica that restarted learns the profile from every so many. */
-constexpr std::uint64_t kProfileEvery = 4;
+constexpr std::uint64_t kProfileHeartbeatInterval = 4;
 /** Replicas that can't lead hear every so many; a power of two. */
-constexpr std::uint64_t kLearnersEach = 2;
+constexpr std::uint64_t kLearnerHeartbeatInterval = 2;
 /** Without a leader's word for this long, the first list is asked as well. */
-constexpr Duration kLeaderQuiet = std::chrono::seconds(2);
+constexpr Duration kLeaderTimeout = std::chrono::seconds(2);
 
 bool
 Contains(const EpochMap& aMap, MemberId aMember)
@@ -38,7 +38,7 @@
 {
   mNow = std::max(mNow, aNow);
   mStartedAt = mStartedAt.value_or(mNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   return std::exchange(mEffects, {});
 }
 
@@ -57,10 +57,10 @@
   if (!mMember.IsSet() || !Contains(mEpoch, mMember)) {
     return ServeVerdict::kNotMember;
   }
-  if (!mUpToDateAt) {
+  if (!mLastConfirmedAt) {
     return ServeVerdict::kNeverConfirmed;
   }
-  return aNow - *mUpToDateAt < mOptions.mConfirmationGrace
+  return aNow - *mLastConfirmedAt < mOptions.mConfirmationGrace
            ? ServeVerdict::kMayServe
            : ServeVerdict::kConfirmationTooOld;
 }
@@ -72,16 +72,16 @@
 }
 
 void
-ControlSession::Take(const FromControlEvent& aEvent)
+ControlSession::Handle(const FromControlEvent& aEvent)
 {
-  std::visit([this](const auto& aMessage) { TakeMessage(aMessage); },
+  std::visit([this](const auto& aMessage) { HandleMessage(aMessage); },
              aEvent.mMessage);
 }
 
 void
-ControlSession::Take(const SettingsInForceEvent& aEvent)
+ControlSession::Handle(const SettingsInForceEvent& aEvent)
 {
-  if (aEvent.mRevision > mInForce && aEvent.mRevision <= mTaken) {
+  if (aEvent.mRevision > mInForce && aEvent.mRevision <= mReceived) {
     mInForce = aEvent.mRevision;
     // Said at once: operators wait for the slowest entry.
     SendHeartbeat(false);
@@ -89,15 +89,15 @@
 }
 
 void
-ControlSession::Take(const LeaveEvent&)
+ControlSession::Handle(const LeaveEvent&)
 {
   mLeaving = true;
-  mDrainTold = true;
+  mDrainNotified = true;
   SendHeartbeat(true);
 }
 
 void
-ControlSession::Take(const LeftNothingEvent&)
+ControlSession::Handle(const HandoverCompleteEvent&)
 {
   mLeaving = true;
   mDone = true;
@@ -105,31 +105,34 @@
 }
 
 void
-ControlSession::Take(const SuspectsEvent& aEvent)
+ControlSession::Handle(const SuspectsEvent& aEvent)
 {
   mSuspects = aEvent.mSuspects;
 }
 
 void
-ControlSession::Take(const SessionTickEvent&)
+ControlSession::Handle(const SessionTickEvent&)
 {
   if (!mLastSent || mNow - *mLastSent >= HeartbeatPeriod()) {
-    SendHeartbeat(mSequence % kLearnersEach == 0);
+    SendHeartbeat(mSequence % kLearnerHeartbeatInterval == 0);
   }
 }
 
 Duration
 ControlSession::HeartbeatPeriod() const
 {
-  const bool eager = !mTaken.IsSet() && mNow - *mStartedAt < mOptions.mEagerFor;
-  return eager ? std::min(mOptions.mEagerPeriod, mOptions.mHeartbeatPeriod)
-               : mOptions.mHeartbeatPeriod;
+  const bool isInitialPhase =
+    !mReceived.IsSet() && mNow - *mStartedAt < mOptions.mInitialPhase;
+  return isInitialPhase ? std::min(mOptions.mInitialHeartbeatPeriod,
+                                   mOptions.mHeartbeatPeriod)
+                        : mOptions.mHeartbeatPeriod;
 }
 
 bool
 ControlSession::SeeksLeader() const
 {
-  return !mLeaderHeardAt || mNow - *mLeaderHeardAt >= kLeaderQuiet;
+  return !mLastLeaderResponseAt ||
+         mNow - *mLastLeaderResponseAt >= kLeaderTimeout;
 }
 
 // Only voters judge silence, and one of them leads; the others answer callers
@@ -155,11 +158,11 @@
                             .mDone = mDone,
                             .mSuspected = mSuspects,
                             .mSeeksLeader = SeeksLeader() };
-  const bool due = mSequence % kProfileEvery == 1;
+  const bool due = mSequence % kProfileHeartbeatInterval == 1;
   if (!mMember.IsSet() || due) {
     heartbeat.mProfile = mOptions.mProfile;
   }
-  const bool toAll = aToAll || SeeksLeader() || !mTaken.IsSet();
+  const bool toAll = aToAll || SeeksLeader() || !mReceived.IsSet();
   Send(toAll ? Reachable() : Voters(), heartbeat);
 }
 
@@ -176,16 +179,16 @@
 // that it was told of are followers, or gone. What they say of others is only
 // a place to ask: nothing rests on it.
 void
-ControlSession::TakeHints(const HeartbeatAnswer& aAnswer)
+ControlSession::AddControlHints(const HeartbeatResponse& aResponse)
 {
-  constexpr std::size_t kMostHints = 16;
+  constexpr std::size_t kMaxKnownControls = 16;
   if (!SeeksLeader()) {
     return;
   }
-  for (const Address& control : aAnswer.mControls) {
+  for (const Address& control : aResponse.mControls) {
     const bool known =
       std::find(mControls.begin(), mControls.end(), control) != mControls.end();
-    if (!known && mControls.size() < kMostHints) {
+    if (!known && mControls.size() < kMaxKnownControls) {
       mControls.push_back(control);
     }
   }
@@ -230,50 +233,52 @@
 }
 
 void
-ControlSession::TakeMessage(const HeartbeatAnswer& aAnswer)
+ControlSession::HandleMessage(const HeartbeatResponse& aResponse)
 {
-  const SentHeartbeat* sent = FindSent(aAnswer.mSequence);
-  if (!aAnswer.mLeads) {
-    TakeHints(aAnswer);
+  const SentHeartbeat* sent = FindSent(aResponse.mSequence);
+  if (!aResponse.mLeads) {
+    AddControlHints(aResponse);
   }
-  if (!aAnswer.mLeads || sent == nullptr || mRemoved) {
+  if (!aResponse.mLeads || sent == nullptr || mRemoved) {
     return;
   }
-  mLeaderHeardAt = mNow;
-  if (!aAnswer.mControls.empty()) {
-    mControls = aAnswer.mControls;
-    mVoters = aAnswer.mVoters;
+  mLastLeaderResponseAt = mNow;
+  if (!aResponse.mControls.empty()) {
+    mControls = aResponse.mControls;
+    mVoters = aResponse.mVoters;
   }
-  TakeStanding(aAnswer);
+  ApplyMembershipStatus(aResponse);
   if (mRemoved) {
     return;
   }
-  mConfirmed = std::max(mConfirmed, aAnswer.mConfirmed);
+  mConfirmed = std::max(mConfirmed, aResponse.mConfirmed);
   // The heartbeat was confirmed against what it reported then.
-  if (sent->mInForce.IsSet() && sent->mInForce >= aAnswer.mConfirmed) {
-    mUpToDateAt = std::max(mUpToDateAt.value_or(sent->mSentAt), sent->mSentAt);
+  if (sent->mInForce.IsSet() && sent->mInForce >= aResponse.mConfirmed) {
+    mLastConfirmedAt =
+      std::max(mLastConfirmedAt.value_or(sent->mSentAt), sent->mSentAt);
   }
-  if (aAnswer.mMember.IsSet()) {
-    mLeaseEnd = std::max(mLeaseEnd, sent->mSentAt + aAnswer.mLease);
+  if (aResponse.mMember.IsSet()) {
+    mLeaseEnd = std::max(mLeaseEnd, sent->mSentAt + aResponse.mLease);
   }
 }
 
 void
-ControlSession::TakeStanding(const HeartbeatAnswer& aAnswer)
+ControlSession::ApplyMembershipStatus(const HeartbeatResponse& aResponse)
 {
-  if (aAnswer.mStanding == Standing::kRemoved ||
-      (mMember.IsSet() && aAnswer.mMember.IsSet() &&
-       aAnswer.mMember != mMember)) {
+  if (aResponse.mMembershipStatus == MembershipStatus::kRemoved ||
+      (mMember.IsSet() && aResponse.mMember.IsSet() &&
+       aResponse.mMember != mMember)) {
     mRemoved = true;
     mEffects.emplace_back(RemovedEffect{});
     return;
   }
-  if (!mMember.IsSet() && aAnswer.mMember.IsSet()) {
-    mMember = aAnswer.mMember;
+  if (!mMember.IsSet() && aResponse.mMember.IsSet()) {
+    mMember = aResponse.mMember;
     mEffects.emplace_back(JoinedEffect{ mMember });
   }
-  if (aAnswer.mStanding == Standing::kDraining && !mDrainTold) {
-    mDrainTold = true;
+  if (aResponse.mMembershipStatus == MembershipStatus::kDraining &&
+      !mDrainNotified) {
+    mDrainNotified = true;
     mLeaving = true;
     mEffects.emplace_back(DrainEffect{});
   }
@@ -282,20 +287,20 @@
 // Messages may come late and twice. Only a higher revision than any taken
 // before is looked at, so that settings never go back.
 void
-ControlSession::TakeMessage(const SettingsPush& aPush)
+ControlSession::HandleMessage(const SettingsPush& aPush)
 {
-  if (aPush.mRevision <= mTaken || mRemoved) {
+  if (aPush.mRevision <= mReceived || mRemoved) {
     return;
   }
   auto text = TextOf(aPush);
   if (!text || DigestOf(*text) != aPush.mDigest) {
     // The base is another one, or the text isn't what was committed.
-    Send(Reachable(), SettingsPull{ text ? Revision() : mTaken });
+    Send(Reachable(), SettingsPull{ text ? Revision() : mReceived });
     return;
   }
-  mTaken = aPush.mRevision;
+  mReceived = aPush.mRevision;
   mText = std::move(*text);
-  mEffects.emplace_back(NewSettingsEffect{ mTaken, mText });
+  mEffects.emplace_back(NewSettingsEffect{ mReceived, mText });
 }
 
 std::optional<std::string>
@@ -304,7 +309,7 @@
   if (aPush.mWhole) {
     return aPush.mWhole;
   }
-  if (aPush.mBase != mTaken) {
+  if (aPush.mBase != mReceived) {
     return std::nullopt;
   }
   std::optional<std::string> text = mText;
@@ -318,7 +323,7 @@
 }
 
 void
-ControlSession::TakeMessage(const EpochPush& aPush)
+ControlSession::HandleMessage(const EpochPush& aPush)
 {
   if (mRemoved) {
     return;
@@ -328,12 +333,12 @@
     mEffects.emplace_back(NewEpochEffect{ mEpoch });
   }
   for (const EpochChange& change : aPush.mChanges) {
-    TakeChange(change);
+    HandleEpochChange(change);
   }
 }
 
 void
-ControlSession::TakeChange(const EpochChange& aChange)
+ControlSession::HandleEpochChange(const EpochChange& aChange)
 {
   if (aChange.mEpoch <= mEpoch.mEpoch) {
     return;
--- a/src/membership/EntryDirectory.cpp
+++ b/src/membership/EntryDirectory.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** An answer must be asked for anew well before a reclaimed entry is gone. */
-constexpr std::int64_t kNoticeShare = 3;
+constexpr std::int64_t kResponsesPerNotice = 3;
 
 /** A candidate in the order of preference; the lowest key comes first. */
 struct Ranked
@@ -46,7 +46,7 @@
 }
 
 void
-EntryDirectory::TakeEpoch(const EpochMap& aMap)
+EntryDirectory::SetEpoch(const EpochMap& aMap)
 {
   if (aMap.mEpoch <= mMap.mEpoch) {
     return;
@@ -63,19 +63,19 @@
 }
 
 void
-EntryDirectory::TakeSuspects(std::set<MemberId> aSuspects)
+EntryDirectory::SetSuspects(std::set<MemberId> aSuspects)
 {
   mSuspects = std::move(aSuspects);
 }
 
 void
-EntryDirectory::TakeWeight(MemberId aMember, double aWeight)
+EntryDirectory::SetEntryWeight(MemberId aMember, double aWeight)
 {
   mWeights[aMember] = aWeight;
 }
 
 void
-EntryDirectory::TakeLeaving(MemberId aMember)
+EntryDirectory::MarkLeaving(MemberId aMember)
 {
   mLeaving.insert(aMember);
 }
@@ -113,8 +113,8 @@
   return -std::log(uniform) / weight;
 }
 
-DirectoryAnswer
-EntryDirectory::Answer(const Region& aRegion)
+DirectoryResponse
+EntryDirectory::MakeResponse(const Region& aRegion)
 {
   std::vector<Ranked> ranked;
   for (const Member* member : Candidates()) {
@@ -134,14 +134,14 @@
   for (std::size_t at = 0; at < count; ++at) {
     chosen.push_back(ranked[at].mMember);
   }
-  DirectoryAnswer answer{ .mEpoch = mMap.mEpoch,
-                          .mAddresses = {},
-                          .mTimeToKeep =
-                            mOptions.mShortestNotice / kNoticeShare };
+  DirectoryResponse response{ .mEpoch = mMap.mEpoch,
+                              .mAddresses = {},
+                              .mMaxAge = mOptions.mMinReclaimNotice /
+                                         kResponsesPerNotice };
   for (const Member* member : SpreadDomains(std::move(chosen))) {
-    answer.mAddresses.push_back(member->mCallerAddress);
+    response.mAddresses.push_back(member->mCallerAddress);
   }
-  return answer;
+  return response;
 }
 
 } // namespace peridotspool::membership
--- a/src/membership/UpstreamDirectory.cpp
+++ b/src/membership/UpstreamDirectory.cpp
@@ -11,34 +11,37 @@
 } // namespace
 
 std::vector<UpstreamName>
-UpstreamDirectory::Take(const Address& aFrom,
-                        const RegistryPush& aPush,
-                        TimePoint aNow)
+UpstreamDirectory::ApplyPush(const Address& aFrom,
+                             const RegistryPush& aPush,
+                             TimePoint aNow)
 {
-  Origin& origin = mOrigins[aFrom];
-  if (origin.mLife != aPush.mLife) {
+  RegistryState& registry = mRegistries[aFrom];
+  if (registry.mRegistryIncarnation != aPush.mRegistryIncarnation) {
     if (aPush.mFrom != 0) {
       return {};
     }
     // A registry that restarted knows nothing yet: what its earlier life knew
     // stays known here until the upstreams have spoken to somebody.
-    origin = Origin{ .mLife = aPush.mLife, .mVersion = 0, .mHears = {} };
+    registry =
+      RegistryState{ .mRegistryIncarnation = aPush.mRegistryIncarnation,
+                     .mVersion = 0,
+                     .mReceivesHeartbeats = {} };
   }
-  if (aPush.mFrom > origin.mVersion || aPush.mTo <= origin.mVersion) {
+  if (aPush.mFrom > registry.mVersion || aPush.mTo <= registry.mVersion) {
     return {};
   }
-  origin.mVersion = aPush.mTo;
+  registry.mVersion = aPush.mTo;
   std::vector<UpstreamName> changed;
   for (const RegistryRow& row : aPush.mRows) {
     const UpstreamName& name = row.mReport.mName;
-    NoteGoodbye(row, aNow);
+    RecordDeregistration(row, aNow);
     bool merged = false;
-    if (TakeIncarnation(row.mReport)) {
-      origin.mHears[name] = !row.mSilent;
+    if (UpdateIncarnation(row.mReport)) {
+      registry.mReceivesHeartbeats[name] = !row.mSilent;
       merged = Merge(row, aNow);
     }
-    const bool ended = EndByGoodbye(name);
-    if (MergeSilence(name, aNow) || merged || ended) {
+    const bool ended = ApplyDeregistration(name);
+    if (UpdateSilence(name, aNow) || merged || ended) {
       changed.push_back(name);
     }
   }
@@ -49,32 +52,32 @@
 // still speak of an earlier one say is over; returns true iff the report
 // counts.
 bool
-UpstreamDirectory::TakeIncarnation(const UpstreamReport& aNews)
+UpstreamDirectory::UpdateIncarnation(const UpstreamReport& aReport)
 {
-  const auto found = mKnown.find(aNews.mName);
+  const auto found = mKnown.find(aReport.mName);
   if (found == mKnown.end()) {
     return true;
   }
   const Incarnation known = found->second.mReport.mIncarnation;
-  if (aNews.mIncarnation <= known) {
-    return aNews.mIncarnation == known;
+  if (aReport.mIncarnation <= known) {
+    return aReport.mIncarnation == known;
   }
   mKnown.erase(found);
-  mQuietSince.erase(aNews.mName);
-  for (auto& [address, origin] : mOrigins) {
-    origin.mHears.erase(aNews.mName);
+  mInactiveSince.erase(aReport.mName);
+  for (auto& [address, registry] : mRegistries) {
+    registry.mReceivesHeartbeats.erase(aReport.mName);
   }
   return true;
 }
 
 void
-UpstreamDirectory::NoteGoodbye(const RegistryRow& aRow, TimePoint aNow)
+UpstreamDirectory::RecordDeregistration(const RegistryRow& aRow, TimePoint aNow)
 {
-  if (aRow.mGoodbyeAgeMs) {
-    const TimePoint saidAt =
-      aNow - std::chrono::milliseconds(*aRow.mGoodbyeAgeMs);
-    TimePoint& last = mGoodbyes[aRow.mReport.mName];
-    last = std::max(last, saidAt);
+  if (aRow.mDeregistrationAgeMs) {
+    const TimePoint deregisteredAt =
+      aNow - std::chrono::milliseconds(*aRow.mDeregistrationAgeMs);
+    TimePoint& last = mDeregistrations[aRow.mReport.mName];
+    last = std::max(last, deregisteredAt);
   }
 }
 
@@ -82,15 +85,15 @@
 // that said it, and may say the same again, to a subscriber that starts, after
 // the next incarnation has begun. Only the order of the two moments tells.
 bool
-UpstreamDirectory::EndByGoodbye(const UpstreamName& aName)
+UpstreamDirectory::ApplyDeregistration(const UpstreamName& aName)
 {
-  const auto goodbye = mGoodbyes.find(aName);
-  if (goodbye == mGoodbyes.end()) {
+  const auto deregistration = mDeregistrations.find(aName);
+  if (deregistration == mDeregistrations.end()) {
     return false;
   }
   KnownUpstream& known = mKnown.at(aName);
   if (known.mReport.mStage == UpstreamStage::kGone ||
-      known.mSince >= goodbye->second + kLateReportFor) {
+      known.mSince >= deregistration->second + kLateHeartbeatWindow) {
     return false;
   }
   known.mReport.mStage = UpstreamStage::kGone;
@@ -100,40 +103,41 @@
 bool
 UpstreamDirectory::Merge(const RegistryRow& aRow, TimePoint aNow)
 {
-  const UpstreamReport& news = aRow.mReport;
-  const TimePoint since = aNow - std::chrono::milliseconds(aRow.mKnownForMs);
-  const auto [place, added] = mKnown.try_emplace(news.mName);
+  const UpstreamReport& report = aRow.mReport;
+  const TimePoint since =
+    aNow - std::chrono::milliseconds(aRow.mIncarnationAgeMs);
+  const auto [place, added] = mKnown.try_emplace(report.mName);
   UpstreamReport& known = place->second.mReport;
   if (added) {
-    known = news;
+    known = report;
     place->second.mSince = since;
     return true;
   }
   place->second.mSince = std::min(place->second.mSince, since);
   const UpstreamReport before = known;
   // A goodbye that carries only the name must not erase the rest.
-  if (news.mSequence >= known.mSequence && !news.mAddress.mHost.empty()) {
-    known = news;
+  if (report.mSequence >= known.mSequence && !report.mAddress.mHost.empty()) {
+    known = report;
   }
-  known.mStage = std::max(before.mStage, news.mStage);
+  known.mStage = std::max(before.mStage, report.mStage);
   return known != before;
 }
 
 bool
-UpstreamDirectory::MergeSilence(const UpstreamName& aName, TimePoint aNow)
+UpstreamDirectory::UpdateSilence(const UpstreamName& aName, TimePoint aNow)
 {
   const bool heard =
-    std::any_of(mOrigins.begin(), mOrigins.end(), [&](const auto& aPair) {
-      const auto row = aPair.second.mHears.find(aName);
-      return row != aPair.second.mHears.end() && row->second;
+    std::any_of(mRegistries.begin(), mRegistries.end(), [&](const auto& aPair) {
+      const auto row = aPair.second.mReceivesHeartbeats.find(aName);
+      return row != aPair.second.mReceivesHeartbeats.end() && row->second;
     });
   KnownUpstream& known = mKnown.at(aName);
   const bool changed = known.mSilent == heard;
   known.mSilent = !heard;
   if (known.mSilent || known.mReport.mStage == UpstreamStage::kGone) {
-    mQuietSince.try_emplace(aName, aNow);
+    mInactiveSince.try_emplace(aName, aNow);
   } else {
-    mQuietSince.erase(aName);
+    mInactiveSince.erase(aName);
   }
   return changed;
 }
@@ -141,32 +145,33 @@
 RegistryPull
 UpstreamDirectory::PullFor(const Address& aRegistry) const
 {
-  const auto origin = mOrigins.find(aRegistry);
-  if (origin == mOrigins.end()) {
+  const auto registry = mRegistries.find(aRegistry);
+  if (registry == mRegistries.end()) {
     return RegistryPull{};
   }
-  return RegistryPull{ .mLife = origin->second.mLife,
-                       .mVersion = origin->second.mVersion };
+  return RegistryPull{ .mRegistryIncarnation =
+                         registry->second.mRegistryIncarnation,
+                       .mVersion = registry->second.mVersion };
 }
 
 std::vector<UpstreamName>
 UpstreamDirectory::Forget(TimePoint aNow)
 {
   std::vector<UpstreamName> forgotten;
-  for (const auto& [name, since] : mQuietSince) {
+  for (const auto& [name, since] : mInactiveSince) {
     if (aNow - since > kForgetAfter) {
       forgotten.push_back(name);
     }
   }
-  std::erase_if(mGoodbyes, [&](const auto& aPair) {
+  std::erase_if(mDeregistrations, [&](const auto& aPair) {
     return aNow - aPair.second > kForgetAfter;
   });
   for (const UpstreamName& name : forgotten) {
-    mQuietSince.erase(name);
+    mInactiveSince.erase(name);
     mKnown.erase(name);
-    mGoodbyes.erase(name);
-    for (auto& [address, origin] : mOrigins) {
-      origin.mHears.erase(name);
+    mDeregistrations.erase(name);
+    for (auto& [address, registry] : mRegistries) {
+      registry.mReceivesHeartbeats.erase(name);
     }
   }
   return forgotten;
--- a/src/membership/UpstreamRegistry.cpp
+++ b/src/membership/UpstreamRegistry.cpp
@@ -8,7 +8,7 @@
 
 /** Returns true iff subscribers have to hear of the difference. */
 bool
-Differs(const RegistryRow& aRow, const UpstreamReport& aReport)
+NeedsPush(const RegistryRow& aRow, const UpstreamReport& aReport)
 {
   UpstreamReport known = aRow.mReport;
   known.mSequence = aReport.mSequence;
@@ -31,11 +31,11 @@
 }
 
 void
-UpstreamRegistry::Change(Row& aRow)
+UpstreamRegistry::MarkChanged(Row& aRow)
 {
   if (aRow.mVersion != 0) {
     mByVersion.erase(aRow.mVersion);
-    aRow.mTold = true;
+    aRow.mPreviouslyPushed = true;
   }
   aRow.mVersion = ++mVersion;
   mByVersion.emplace(aRow.mVersion, aRow.mRow.mReport.mName);
@@ -43,36 +43,37 @@
 
 // Of an upstream that leaves only that is told: all else was told before.
 RegistryRow
-UpstreamRegistry::Told(const Row& aRow, TimePoint aNow)
+UpstreamRegistry::MakePushRow(const Row& aRow, TimePoint aNow)
 {
-  RegistryRow told = aRow.mRow;
+  RegistryRow row = aRow.mRow;
   const UpstreamReport& report = aRow.mRow.mReport;
-  if (report.mStage != UpstreamStage::kReady && aRow.mTold) {
-    told.mReport = { .mName = report.mName,
-                     .mIncarnation = report.mIncarnation,
-                     .mStage = report.mStage,
-                     .mSequence = report.mSequence };
+  if (report.mStage != UpstreamStage::kReady && aRow.mPreviouslyPushed) {
+    row.mReport = { .mName = report.mName,
+                    .mIncarnation = report.mIncarnation,
+                    .mStage = report.mStage,
+                    .mSequence = report.mSequence };
   }
-  told.mKnownForMs = Milliseconds(aNow - aRow.mKnownSince);
-  if (aRow.mGoodbyeAt) {
-    told.mGoodbyeAgeMs = Milliseconds(aNow - *aRow.mGoodbyeAt);
+  row.mIncarnationAgeMs = Milliseconds(aNow - aRow.mIncarnationSeenAt);
+  if (aRow.mDeregisteredAt) {
+    row.mDeregistrationAgeMs = Milliseconds(aNow - *aRow.mDeregisteredAt);
   }
-  return told;
+  return row;
 }
 
 // A heartbeat that was sent before the goodbye may arrive after it, and be the
 // first that is heard of its incarnation here.
 bool
-UpstreamRegistry::WasOvertaken(const Row& aRow, TimePoint aNow) const
+UpstreamRegistry::IsInLateHeartbeatWindow(const Row& aRow, TimePoint aNow) const
 {
-  return aRow.mGoodbyeAt && aNow - *aRow.mGoodbyeAt < mOptions.mLateReportFor;
+  return aRow.mDeregisteredAt &&
+         aNow - *aRow.mDeregisteredAt < mOptions.mLateHeartbeatWindow;
 }
 
 // A heartbeat may be delayed for seconds and arrive after one that said that
 // the upstream leaves. Taken as news it would bring work back to an upstream
 // that is about to exit; its lower sequence shows that it is old.
 std::vector<RegistrySend>
-UpstreamRegistry::TakeReport(UpstreamReport aReport, TimePoint aNow)
+UpstreamRegistry::HandleHeartbeat(UpstreamReport aReport, TimePoint aNow)
 {
   const auto found = mRows.find(aReport.mName);
   if (found == mRows.end()) {
@@ -81,9 +82,9 @@
     }
     Row& row = mRows[aReport.mName];
     row.mRow.mReport = std::move(aReport);
-    row.mHeardAt = aNow;
-    row.mKnownSince = aNow;
-    Change(row);
+    row.mLastHeardAt = aNow;
+    row.mIncarnationSeenAt = aNow;
+    MarkChanged(row);
     return PushAll(aNow);
   }
   Row& row = found->second;
@@ -92,23 +93,23 @@
     return {};
   }
   if (aReport.mIncarnation > known.mIncarnation) {
-    return Replace(row, std::move(aReport), aNow);
+    return ReplaceIncarnation(row, std::move(aReport), aNow);
   }
   if (known.mStage == UpstreamStage::kGone ||
       aReport.mSequence < known.mSequence) {
     return {};
   }
-  row.mHeardAt = aNow;
+  row.mLastHeardAt = aNow;
   if (aReport.mStage < known.mStage) {
     aReport.mStage = known.mStage;
   }
-  const bool differs = Differs(row.mRow, aReport);
+  const bool needsPush = NeedsPush(row.mRow, aReport);
   row.mRow.mReport = std::move(aReport);
   row.mRow.mSilent = false;
-  if (!differs) {
+  if (!needsPush) {
     return {};
   }
-  Change(row);
+  MarkChanged(row);
   return PushAll(aNow);
 }
 
@@ -117,16 +118,18 @@
 // it would stay unheard, or gone, until it had sent as many as before. All that
 // was known of it ends with the incarnation that it was known of.
 std::vector<RegistrySend>
-UpstreamRegistry::Replace(Row& aRow, UpstreamReport aReport, TimePoint aNow)
+UpstreamRegistry::ReplaceIncarnation(Row& aRow,
+                                     UpstreamReport aReport,
+                                     TimePoint aNow)
 {
-  if (WasOvertaken(aRow, aNow)) {
+  if (IsInLateHeartbeatWindow(aRow, aNow)) {
     aReport.mStage = UpstreamStage::kGone;
   }
   aRow.mRow = { .mReport = std::move(aReport), .mSilent = false };
-  aRow.mHeardAt = aNow;
-  aRow.mKnownSince = aNow;
-  Change(aRow);
-  aRow.mTold = false;
+  aRow.mLastHeardAt = aNow;
+  aRow.mIncarnationSeenAt = aNow;
+  MarkChanged(aRow);
+  aRow.mPreviouslyPushed = false;
   return PushAll(aNow);
 }
 
@@ -134,9 +137,9 @@
 // have heard of. Subscribers know from all of them since when each incarnation
 // is known, and find out by the goodbye's age which one it ends.
 std::vector<RegistrySend>
-UpstreamRegistry::TakeGoodbye(const UpstreamName& aName,
-                              Incarnation aIncarnation,
-                              TimePoint aNow)
+UpstreamRegistry::HandleDeregistration(const UpstreamName& aName,
+                                       Incarnation aIncarnation,
+                                       TimePoint aNow)
 {
   const auto found = mRows.find(aName);
   if (found == mRows.end() && mRows.size() >= mOptions.mMaxRows) {
@@ -148,30 +151,31 @@
   if (aIncarnation.IsSet() && aIncarnation < report.mIncarnation) {
     return {};
   }
-  row.mHeardAt = aNow;
+  row.mLastHeardAt = aNow;
   const bool isNewer = isNew || aIncarnation > report.mIncarnation;
   if (isNewer) {
     report.mName = aName;
     report.mIncarnation = aIncarnation;
-    row.mKnownSince = aNow;
+    row.mIncarnationSeenAt = aNow;
   }
-  const bool isRepeated = !isNewer && report.mStage == UpstreamStage::kGone &&
-                          (aIncarnation.IsSet() || WasOvertaken(row, aNow));
+  const bool isRepeated =
+    !isNewer && report.mStage == UpstreamStage::kGone &&
+    (aIncarnation.IsSet() || IsInLateHeartbeatWindow(row, aNow));
   if (isRepeated) {
     return {};
   }
   if (!aIncarnation.IsSet()) {
-    row.mGoodbyeAt = aNow;
+    row.mDeregisteredAt = aNow;
   }
   report.mStage = UpstreamStage::kGone;
-  Change(row);
+  MarkChanged(row);
   return PushAll(aNow);
 }
 
 std::vector<RegistrySend>
-UpstreamRegistry::TakePull(const Address& aFrom,
-                           const RegistryPull& aPull,
-                           TimePoint aNow)
+UpstreamRegistry::HandlePull(const Address& aFrom,
+                             const RegistryPull& aPull,
+                             TimePoint aNow)
 {
   const auto found = mSubscribers.find(aFrom);
   if (found == mSubscribers.end() &&
@@ -179,10 +183,12 @@
     return {};
   }
   Subscriber& subscriber = mSubscribers[aFrom];
-  subscriber.mHeardAt = aNow;
-  const std::uint64_t has = aPull.mLife == mOptions.mLife ? aPull.mVersion : 0;
+  subscriber.mLastPullAt = aNow;
+  const std::uint64_t has =
+    aPull.mRegistryIncarnation == mOptions.mRegistryIncarnation ? aPull.mVersion
+                                                                : 0;
   if (has > subscriber.mConfirmed) {
-    subscriber.mWaitsSince = aNow;
+    subscriber.mUnconfirmedSince = aNow;
   } else if (has < subscriber.mConfirmed || has == 0) {
     // It has restarted, and knows less than it confirmed.
     subscriber.mPushed = has;
@@ -196,21 +202,21 @@
 }
 
 bool
-UpstreamRegistry::FindSilent(TimePoint aNow)
+UpstreamRegistry::MarkSilentRows(TimePoint aNow)
 {
   bool changed = false;
   for (auto row = mRows.begin(); row != mRows.end();) {
-    const Duration quiet = aNow - row->second.mHeardAt;
-    if (quiet > mOptions.mForgetAfter) {
+    const Duration silence = aNow - row->second.mLastHeardAt;
+    if (silence > mOptions.mForgetAfter) {
       mByVersion.erase(row->second.mVersion);
       row = mRows.erase(row);
       continue;
     }
     RegistryRow& shown = row->second.mRow;
     if (!shown.mSilent && shown.mReport.mStage != UpstreamStage::kGone &&
-        quiet > mOptions.mSilentAfter) {
+        silence > mOptions.mSilentAfter) {
       shown.mSilent = true;
-      Change(row->second);
+      MarkChanged(row->second);
       changed = true;
     }
     ++row;
@@ -221,11 +227,11 @@
 std::vector<RegistrySend>
 UpstreamRegistry::Tick(TimePoint aNow)
 {
-  if (aNow - mSweptAt >= mOptions.mSweepPeriod) {
-    mSweptAt = aNow;
-    FindSilent(aNow);
+  if (aNow - mLastSweepAt >= mOptions.mSweepPeriod) {
+    mLastSweepAt = aNow;
+    MarkSilentRows(aNow);
     std::erase_if(mSubscribers, [&](const auto& aPair) {
-      return aNow - aPair.second.mHeardAt > mOptions.mSubscriberTimeout;
+      return aNow - aPair.second.mLastPullAt > mOptions.mSubscriberTimeout;
     });
   }
   return PushAll(aNow);
@@ -235,7 +241,7 @@
 UpstreamRegistry::IsLost(const Subscriber& aSubscriber, TimePoint aNow) const
 {
   return aSubscriber.mPushed > aSubscriber.mConfirmed &&
-         aNow - aSubscriber.mWaitsSince >= mOptions.mResendAfter;
+         aNow - aSubscriber.mUnconfirmedSince >= mOptions.mResendAfter;
 }
 
 // Three hundred subscribers at a hundred pushes a second each would be more
@@ -244,7 +250,7 @@
 UpstreamRegistry::Spacing() const
 {
   return std::max(mOptions.mSpacing,
-                  mOptions.mSpacingEach *
+                  mOptions.mSpacingPerSubscriber *
                     static_cast<Duration::rep>(mSubscribers.size()));
 }
 
@@ -254,7 +260,7 @@
 bool
 UpstreamRegistry::IsDue(const Subscriber& aSubscriber, TimePoint aNow) const
 {
-  const bool mayPush = aSubscriber.mQuick < mOptions.mMostQuick ||
+  const bool mayPush = aSubscriber.mBurstCount < mOptions.mMaxBurst ||
                        aNow - aSubscriber.mPushedAt >= Spacing();
   return (mayPush && aSubscriber.mPushed < mVersion) ||
          IsLost(aSubscriber, aNow);
@@ -280,26 +286,28 @@
                        Subscriber& aSubscriber,
                        TimePoint aNow)
 {
-  const bool waits = aSubscriber.mPushed > aSubscriber.mConfirmed;
+  const bool isUnconfirmed = aSubscriber.mPushed > aSubscriber.mConfirmed;
   const bool lost = IsLost(aSubscriber, aNow);
   const std::uint64_t from =
-    waits && !lost ? aSubscriber.mPushed : aSubscriber.mConfirmed;
-  if (!waits || lost) {
-    aSubscriber.mWaitsSince = aNow;
+    isUnconfirmed && !lost ? aSubscriber.mPushed : aSubscriber.mConfirmed;
+  if (!isUnconfirmed || lost) {
+    aSubscriber.mUnconfirmedSince = aNow;
   }
-  const Duration quiet = std::max(mOptions.mQuietAfter, 4 * Spacing());
-  const bool isQuick = aNow - aSubscriber.mPushedAt < quiet;
-  aSubscriber.mQuick = isQuick ? aSubscriber.mQuick + 1 : 0;
+  const Duration resetAfter =
+    std::max(mOptions.mBurstResetAfter, 4 * Spacing());
+  const bool isBurst = aNow - aSubscriber.mPushedAt < resetAfter;
+  aSubscriber.mBurstCount = isBurst ? aSubscriber.mBurstCount + 1 : 0;
   aSubscriber.mPushed = mVersion;
   aSubscriber.mPushedAt = aNow;
   RegistrySend send{ .mTo = aTo,
-                     .mPush = { .mLife = mOptions.mLife,
+                     .mPush = { .mRegistryIncarnation =
+                                  mOptions.mRegistryIncarnation,
                                 .mFrom = from,
                                 .mTo = mVersion,
                                 .mRows = {} } };
   for (auto place = mByVersion.upper_bound(from); place != mByVersion.end();
        ++place) {
-    send.mPush.mRows.push_back(Told(mRows.at(place->second), aNow));
+    send.mPush.mRows.push_back(MakePushRow(mRows.at(place->second), aNow));
   }
   return send;
 }
--- a/src/request/EntryNode.cpp
+++ b/src/request/EntryNode.cpp
@@ -19,7 +19,7 @@
   return mState->Step(aEvent, aNow);
 }
 
-membership::DirectoryAnswer
+membership::DirectoryResponse
 EntryNode::Directory(const Region& aRegion)
 {
   return mState->Directory(aRegion);
--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -109,7 +109,7 @@
       suspects.insert(id);
     }
   }
-  mDirectory.TakeSuspects(suspects);
+  mDirectory.SetSuspects(suspects);
   StepSession(
     membership::SuspectsEvent{ { suspects.begin(), suspects.end() } });
 }
@@ -199,7 +199,7 @@
   for (const membership::Member& member : map.mMembers) {
     mMembers.emplace(member.mId, member);
   }
-  mDirectory.TakeEpoch(map);
+  mDirectory.SetEpoch(map);
   mEffects->emplace_back(EpochTakenEffect{ map.mEpoch, map.mMembers.size() });
   HandOn(map);
   const auto self = mMembers.find(mSelf);
@@ -289,7 +289,7 @@
   mLeaving = true;
   mLeaveBy = mNow + mOptions.mLeaveLimit;
   if (mSelf.IsSet()) {
-    mDirectory.TakeLeaving(mSelf);
+    mDirectory.MarkLeaving(mSelf);
   }
 }
 
@@ -306,7 +306,7 @@
     (mLedger->Counters().mHeldShards == 0 || !AnyActiveMember());
   if (handedOver && !mToldDone) {
     mToldDone = true;
-    StepSession(membership::LeftNothingEvent{});
+    StepSession(membership::HandoverCompleteEvent{});
   }
   const bool neverJoined = !mSelf.IsSet();
   if (!mLeft && (neverJoined || mNow >= mLeaveBy)) {
@@ -357,10 +357,10 @@
   mEffects->emplace_back(ReplyEffect{ aExchange, std::move(aReply) });
 }
 
-membership::DirectoryAnswer
+membership::DirectoryResponse
 EntryNodeState::Directory(const Region& aRegion)
 {
-  return mDirectory.Answer(aRegion);
+  return mDirectory.MakeResponse(aRegion);
 }
 
 EntryNodeStatus
--- a/src/request/EntryNodeState.h
+++ b/src/request/EntryNodeState.h
@@ -19,7 +19,7 @@
 
   EntryNodeEffects Step(const EntryNodeEvent& aEvent, TimePoint aNow);
 
-  membership::DirectoryAnswer Directory(const Region& aRegion);
+  membership::DirectoryResponse Directory(const Region& aRegion);
   EntryNodeStatus Status(TimePoint aNow) const;
   EntryName NameOf(MemberId aMember) const;
 
--- a/src/runtime/ControlDecider.cpp
+++ b/src/runtime/ControlDecider.cpp
@@ -63,7 +63,7 @@
   : mNode(std::move(aNode))
   , mParts(std::move(aParts))
   , mRegistry(membership::UpstreamRegistryOptions{
-      .mLife = membership::RegistryLife(RandomNumber()) })
+      .mRegistryIncarnation = membership::RegistryIncarnation(RandomNumber()) })
 {
   if (mParts.mDuties != nullptr) {
     mDuties.emplace(
@@ -191,7 +191,7 @@
   }
   const membership::UpstreamReport report = aCall.mReport;
   const std::uint64_t before = mRegistry.Version();
-  auto sends = mRegistry.TakeReport(report, mNow);
+  auto sends = mRegistry.HandleHeartbeat(report, mNow);
   // Entries are told before the upstream is answered: it counts the time
   // until it gets no more work from the answer.
   if (mRegistry.Version() != before) {
@@ -229,7 +229,8 @@
   if (RefuseAnnouncement(aInput)) {
     return;
   }
-  auto sends = mRegistry.TakeGoodbye(aCall.mName, aCall.mIncarnation, mNow);
+  auto sends =
+    mRegistry.HandleDeregistration(aCall.mName, aCall.mIncarnation, mNow);
   mParts.mLogger.Log(observe::EventId::kUpstreamLeaving,
                      { { "upstream", aCall.mName },
                        { "stage", "gone" },
@@ -267,7 +268,7 @@
                              const membership::RegistryMessage& aMessage)
 {
   if (const auto* pull = std::get_if<membership::RegistryPull>(&aMessage)) {
-    SendAll(mRegistry.TakePull(aFrom, *pull, mNow));
+    SendAll(mRegistry.HandlePull(aFrom, *pull, mNow));
   } else if (mDuties) {
     const auto& push = std::get<membership::RegistryPush>(aMessage);
     mDuties->TakePush(aFrom, push, mNow);
@@ -291,7 +292,7 @@
     }
   }
   for (const auto& send :
-       mRegistry.TakePull(self, mDuties->PullFor(self), mNow)) {
+       mRegistry.HandlePull(self, mDuties->PullFor(self), mNow)) {
     mDuties->TakePush(self, send.mPush, mNow);
   }
 }
--- a/src/runtime/DutyRunner.cpp
+++ b/src/runtime/DutyRunner.cpp
@@ -218,7 +218,7 @@
                      const membership::RegistryPush& aPush,
                      TimePoint aNow)
 {
-  mDirectory.Take(aFrom, aPush, aNow);
+  mDirectory.ApplyPush(aFrom, aPush, aNow);
 }
 
 // A new leader begins with what the log says of the accounts of earlier ones.
--- a/src/runtime/GatewayRelay.cpp
+++ b/src/runtime/GatewayRelay.cpp
@@ -310,7 +310,7 @@
   if (stage != gateway::StopStage::kOver) {
     return false;
   }
-  Step(membership::LeftNothingEvent{});
+  Step(membership::HandoverCompleteEvent{});
   return true;
 }
 
--- a/src/runtime/GatewayRelaySession.cpp
+++ b/src/runtime/GatewayRelaySession.cpp
@@ -99,7 +99,7 @@
 GatewayRelay::NoteLeader(const Address& aFrom,
                          const membership::ToEntryMessage& aMessage)
 {
-  const auto* answer = std::get_if<membership::HeartbeatAnswer>(&aMessage);
+  const auto* answer = std::get_if<membership::HeartbeatResponse>(&aMessage);
   if (answer == nullptr || !answer->mLeads) {
     return;
   }
--- a/src/runtime/StatusJson.cpp
+++ b/src/runtime/StatusJson.cpp
@@ -56,14 +56,14 @@
 }
 
 std::string
-DirectoryJson(const membership::DirectoryAnswer& aAnswer)
+DirectoryJson(const membership::DirectoryResponse& aAnswer)
 {
   json::array entries;
   for (const Address& address : aAnswer.mAddresses) {
     entries.push_back(json::object{ { "address", ToText(address) } });
   }
   const auto keep =
-    std::chrono::duration_cast<std::chrono::milliseconds>(aAnswer.mTimeToKeep);
+    std::chrono::duration_cast<std::chrono::milliseconds>(aAnswer.mMaxAge);
   return json::serialize(json::object{ { "epoch", aAnswer.mEpoch.Value() },
                                        { "keep_ms", keep.count() },
                                        { "entries", std::move(entries) } });
--- a/src/runtime/StatusJson.h
+++ b/src/runtime/StatusJson.h
@@ -21,6 +21,6 @@
 
 /** The answer of `GET /v1/entries`. */
 std::string
-DirectoryJson(const membership::DirectoryAnswer& aAnswer);
+DirectoryJson(const membership::DirectoryResponse& aAnswer);
 
 } // namespace peridotspool::runtime
--- a/src/runtime/UpstreamFeed.cpp
+++ b/src/runtime/UpstreamFeed.cpp
@@ -10,7 +10,7 @@
                    const membership::RegistryPush& aPush,
                    TimePoint aNow)
 {
-  for (const UpstreamName& name : mDirectory.Take(aFrom, aPush, aNow)) {
+  for (const UpstreamName& name : mDirectory.ApplyPush(aFrom, aPush, aNow)) {
     Note(name, aFrom, aPush, aNow);
   }
 }
--- a/test/control/ControlNodeTest.cpp
+++ b/test/control/ControlNodeTest.cpp
@@ -55,7 +55,8 @@
   REQUIRE(std::holds_alternative<DrainAnswer>(answer));
   ClusterProcess& entry = cluster.Process("entry-1");
   REQUIRE(cluster.RunUntil([&] { return entry.mDrainWanted; }));
-  entry.mSession->Step(membership::LeftNothingEvent{}, cluster.LocalNow(entry));
+  entry.mSession->Step(membership::HandoverCompleteEvent{},
+                       cluster.LocalNow(entry));
   CHECK(cluster.RunUntil([&] { return entry.mWasRemoved; }));
   CHECK(cluster.Problems().empty());
 }
--- a/test/membership/ControlSessionTest.cpp
+++ b/test/membership/ControlSessionTest.cpp
@@ -57,13 +57,13 @@
   return taken;
 }
 
-HeartbeatAnswer
-LeaderAnswer(std::uint64_t aSequence, std::uint64_t aConfirmed)
+HeartbeatResponse
+LeaderResponse(std::uint64_t aSequence, std::uint64_t aConfirmed)
 {
-  HeartbeatAnswer answer;
+  HeartbeatResponse answer;
   answer.mSequence = aSequence;
   answer.mLeads = true;
-  answer.mStanding = Standing::kActive;
+  answer.mMembershipStatus = MembershipStatus::kActive;
   answer.mMember = MemberId(3);
   answer.mConfirmed = Revision(aConfirmed);
   answer.mEpoch = EpochNumber(1);
@@ -139,7 +139,7 @@
   REQUIRE(effects.size() == 2);
   const auto& send = std::get<ToControlEffect>(effects[0]);
   CHECK_FALSE(std::get<SettingsPull>(send.mEnvelope.mMessage).mHave.IsSet());
-  CHECK(session.TakenRevision() == Revision(1));
+  CHECK(session.ReceivedRevision() == Revision(1));
 }
 
 // Symptom: a restarted entry serves callers by settings of long ago.
@@ -154,18 +154,18 @@
   Push(session, Whole(4));
   CHECK(session.MayServe(kStart) == ServeVerdict::kNotMember);
   // Confirmed, but newer settings exist.
-  session.Step(FromControlEvent{ LeaderAnswer(first, 5) }, kStart);
+  session.Step(FromControlEvent{ LeaderResponse(first, 5) }, kStart);
   CHECK(session.MayServe(kStart) == ServeVerdict::kNeverConfirmed);
   // A replica that doesn't lead confirms nothing.
-  HeartbeatAnswer hint =
-    LeaderAnswer(Beat(session, kStart + std::chrono::seconds(1)), 4);
+  HeartbeatResponse hint =
+    LeaderResponse(Beat(session, kStart + std::chrono::seconds(1)), 4);
   hint.mLeads = false;
   session.Step(FromControlEvent{ hint }, kStart + std::chrono::seconds(1));
   CHECK(session.MayServe(kStart) == ServeVerdict::kNeverConfirmed);
   Push(session, Whole(5));
   const TimePoint later = kStart + std::chrono::seconds(2);
   const std::uint64_t second = Beat(session, later);
-  session.Step(FromControlEvent{ LeaderAnswer(second, 5) }, later);
+  session.Step(FromControlEvent{ LeaderResponse(second, 5) }, later);
   CHECK(session.MayServe(later) == ServeVerdict::kMayServe);
 }
 
@@ -178,7 +178,7 @@
   session.Step(FromControlEvent{ FirstEpoch() }, kStart);
   const std::uint64_t sequence = Beat(session, kStart);
   const TimePoint late = kStart + std::chrono::seconds(3);
-  session.Step(FromControlEvent{ LeaderAnswer(sequence, 0) }, late);
+  session.Step(FromControlEvent{ LeaderResponse(sequence, 0) }, late);
   CHECK(session.Member() == MemberId(3));
   CHECK_FALSE(session.LeaseHolds(late));
 }
@@ -188,17 +188,17 @@
   ControlSession session(Options());
   session.Step(FromControlEvent{ FirstEpoch() }, kStart);
   Push(session, Whole(1));
-  session.Step(FromControlEvent{ LeaderAnswer(Beat(session, kStart), 1) },
+  session.Step(FromControlEvent{ LeaderResponse(Beat(session, kStart), 1) },
                kStart);
   const TimePoint later = kStart + std::chrono::seconds(1);
   const std::uint64_t sequence = Beat(session, later);
-  HeartbeatAnswer removed = LeaderAnswer(sequence, 1);
-  removed.mStanding = Standing::kRemoved;
+  HeartbeatResponse removed = LeaderResponse(sequence, 1);
+  removed.mMembershipStatus = MembershipStatus::kRemoved;
   removed.mMember = MemberId();
   const auto effects = session.Step(FromControlEvent{ removed }, later);
   REQUIRE(effects.size() == 1);
   CHECK(std::holds_alternative<RemovedEffect>(effects[0]));
-  session.Step(FromControlEvent{ LeaderAnswer(sequence, 1) }, later);
+  session.Step(FromControlEvent{ LeaderResponse(sequence, 1) }, later);
   CHECK(session.MayServe(later) == ServeVerdict::kRemoved);
   CHECK(Beat(session, later + std::chrono::seconds(1)) == 0);
 }
--- a/test/membership/ControlTrafficTest.cpp
+++ b/test/membership/ControlTrafficTest.cpp
@@ -61,7 +61,7 @@
         continue;
       }
       ++mHeard[send->mTo];
-      mSought = heartbeat->mSeeksLeader;
+      mLastSeeksLeader = heartbeat->mSeeksLeader;
       if (aAnswers && send->mTo == Replicas()[0]) {
         Answer(heartbeat->mSequence, aMs);
       }
@@ -70,12 +70,12 @@
 
   void Answer(std::uint64_t aSequence, int aMs)
   {
-    HeartbeatAnswer answer{ .mSequence = aSequence,
-                            .mLeads = true,
-                            .mStanding = Standing::kActive,
-                            .mMember = MemberId(1),
-                            .mControls = Replicas(),
-                            .mVoters = kVoters };
+    HeartbeatResponse answer{ .mSequence = aSequence,
+                              .mLeads = true,
+                              .mMembershipStatus = MembershipStatus::kActive,
+                              .mMember = MemberId(1),
+                              .mControls = Replicas(),
+                              .mVoters = kVoters };
     mSession.Step(FromControlEvent{ answer }, At(aMs));
     SettingsPush push{ .mRevision = Revision(1),
                        .mWhole = "x",
@@ -85,7 +85,7 @@
 
   ControlSession mSession;
   std::map<Address, int> mHeard;
-  bool mSought = false;
+  bool mLastSeeksLeader = false;
 };
 
 } // namespace
@@ -105,7 +105,7 @@
     INFO("replica " << i << " of " << kReplicas << ", " << kVoters << " vote");
     CHECK(entry.mHeard[replicas[i]] == (i < kVoters ? 20 : 10));
   }
-  CHECK_FALSE(entry.mSought);
+  CHECK_FALSE(entry.mLastSeeksLeader);
 }
 
 TEST_CASE("AllReplicasHearOfAnEntryThatLeavesOrHasLostTheLeader")
@@ -119,7 +119,7 @@
   entry.Run(3050, 5500, false);
   entry.mHeard.clear();
   entry.Run(5500, 6100, false);
-  CHECK(entry.mSought);
+  CHECK(entry.mLastSeeksLeader);
   for (const Address& replica : Replicas()) {
     CHECK(entry.mHeard[replica] == 2);
   }
--- a/test/membership/GoodbyeElsewhereTest.cpp
+++ b/test/membership/DeregistrationAtOtherReplicaTest.cpp
@@ -26,7 +26,7 @@
         int aMs)
 {
   for (const RegistrySend& send : aSends) {
-    aDirectory.Take(aFrom, send.mPush, At(aMs));
+    aDirectory.ApplyPush(aFrom, send.mPush, At(aMs));
   }
 }
 
@@ -40,24 +40,24 @@
 // upstream's life from another replica, take it for a life that is over.
 TEST_CASE("AGoodbyeAtAReplicaThatDoesNotKnowTheUpstreamEndsItForEntries")
 {
-  UpstreamRegistry one({ .mLife = RegistryLife(1) });
-  UpstreamRegistry two({ .mLife = RegistryLife(2) });
+  UpstreamRegistry one({ .mRegistryIncarnation = RegistryIncarnation(1) });
+  UpstreamRegistry two({ .mRegistryIncarnation = RegistryIncarnation(2) });
   UpstreamDirectory directory;
   Deliver(
-    directory, kOne, one.TakePull(kEntry, directory.PullFor(kOne), At(0)), 0);
+    directory, kOne, one.HandlePull(kEntry, directory.PullFor(kOne), At(0)), 0);
   Deliver(
-    directory, kTwo, two.TakePull(kEntry, directory.PullFor(kTwo), At(0)), 0);
+    directory, kTwo, two.HandlePull(kEntry, directory.PullFor(kTwo), At(0)), 0);
   Deliver(directory,
           kOne,
-          one.TakeReport({ .mName = kName,
-                           .mIncarnation = Incarnation(1000),
-                           .mService = ServiceName("s"),
-                           .mAddress = { "127.0.0.1", 80 },
-                           .mSequence = 1 },
-                         At(1)),
+          one.HandleHeartbeat({ .mName = kName,
+                                .mIncarnation = Incarnation(1000),
+                                .mService = ServiceName("s"),
+                                .mAddress = { "127.0.0.1", 80 },
+                                .mSequence = 1 },
+                              At(1)),
           1);
   REQUIRE(directory.Find(kName) != nullptr);
-  Deliver(directory, kTwo, two.TakeGoodbye(kName, {}, At(2)), 2);
+  Deliver(directory, kTwo, two.HandleDeregistration(kName, {}, At(2)), 2);
   for (int ms = 100; ms <= 1000; ms += 100) {
     Deliver(directory, kTwo, two.Tick(At(ms)), ms);
   }
--- a/test/membership/UnnamedGoodbyeModelTest.cpp
+++ b/test/membership/DeregistrationModelTest.cpp
@@ -27,7 +27,7 @@
   int mAtMs = 0;
   int mReplica = 0;
   UpstreamReport mReport;
-  bool mIsGoodbye = false;
+  bool mIsDeregistration = false;
 };
 
 /**
@@ -42,7 +42,8 @@
   {
     for (int i = 0; i < kReplicas; ++i) {
       mReplicas.emplace_back(UpstreamRegistryOptions{
-        .mLife = RegistryLife(static_cast<std::uint64_t>(i) + 1) });
+        .mRegistryIncarnation =
+          RegistryIncarnation(static_cast<std::uint64_t>(i) + 1) });
     }
     StartEntry();
     Begin();
@@ -69,7 +70,7 @@
   {
     return mCalls.empty() && mNowMs - mChangedAtMs > kMostLateMs + 300;
   }
-  bool IsGone() const { return mGoodbyeAtMs >= 0; }
+  bool IsGone() const { return mDeregisteredAtMs >= 0; }
   Incarnation Current() const { return mCurrent; }
   const std::vector<std::unique_ptr<UpstreamDirectory>>& Entries() const
   {
@@ -94,7 +95,7 @@
   {
     mCurrent = Incarnation(mCurrent.Value() + 1);
     mSequence = 0;
-    mGoodbyeAtMs = -1;
+    mDeregisteredAtMs = -1;
     mChangedAtMs = mNowMs;
     mHome = Draw(kReplicas);
   }
@@ -102,7 +103,7 @@
   void StepUpstream()
   {
     if (IsGone()) {
-      if (mNowMs - mGoodbyeAtMs > kServesOnMs && Draw(100) == 0) {
+      if (mNowMs - mDeregisteredAtMs > kServesOnMs && Draw(100) == 0) {
         Begin();
       }
       return;
@@ -118,12 +119,12 @@
                        .mSequence = ++mSequence } });
     }
     if (mSequence > 2 && Draw(300) == 0) {
-      mGoodbyeAtMs = mNowMs;
+      mDeregisteredAtMs = mNowMs;
       mChangedAtMs = mNowMs;
       mCalls.push_back({ .mAtMs = mNowMs,
                          .mReplica = Draw(kReplicas),
                          .mReport = {},
-                         .mIsGoodbye = true });
+                         .mIsDeregistration = true });
     }
   }
 
@@ -136,8 +137,9 @@
       }
       auto& replica = mReplicas[static_cast<std::size_t>(call->mReplica)];
       Push(call->mReplica,
-           call->mIsGoodbye ? replica.TakeGoodbye(kName, {}, Now())
-                            : replica.TakeReport(call->mReport, Now()));
+           call->mIsDeregistration
+             ? replica.HandleDeregistration(kName, {}, Now())
+             : replica.HandleHeartbeat(call->mReport, Now()));
       call = mCalls.erase(call);
     }
   }
@@ -145,7 +147,8 @@
   void Push(int aReplica, const std::vector<RegistrySend>& aSends)
   {
     for (const RegistrySend& send : aSends) {
-      mEntries[send.mTo.mPort]->Take(AddressOf(aReplica), send.mPush, Now());
+      mEntries[send.mTo.mPort]->ApplyPush(
+        AddressOf(aReplica), send.mPush, Now());
     }
   }
 
@@ -154,7 +157,7 @@
     for (std::size_t entry = 0; entry < mEntries.size(); ++entry) {
       for (int i = 0; i < kReplicas; ++i) {
         Push(i,
-             mReplicas[static_cast<std::size_t>(i)].TakePull(
+             mReplicas[static_cast<std::size_t>(i)].HandlePull(
                { "127.0.0.1", static_cast<std::uint16_t>(entry) },
                mEntries[entry]->PullFor(AddressOf(i)),
                Now()));
@@ -175,7 +178,7 @@
   std::deque<Call> mCalls;
   Incarnation mCurrent;
   std::uint64_t mSequence = 0;
-  int mGoodbyeAtMs = -1;
+  int mDeregisteredAtMs = -1;
   int mChangedAtMs = 0;
   int mHome = 0;
 };
--- a/test/membership/EntryDirectoryTest.cpp
+++ b/test/membership/EntryDirectoryTest.cpp
@@ -31,7 +31,7 @@
 }
 
 bool
-Names(const DirectoryAnswer& aAnswer, const Member& aMember)
+Names(const DirectoryResponse& aAnswer, const Member& aMember)
 {
   return std::find(aAnswer.mAddresses.begin(),
                    aAnswer.mAddresses.end(),
@@ -45,11 +45,11 @@
   EntryDirectory directory({});
   EpochMap map = EightMembers();
   map.mMembers[0].mState = MemberState::kDraining;
-  directory.TakeEpoch(map);
-  directory.TakeLeaving(MemberId(2));
-  directory.TakeSuspects({ MemberId(3) });
-  const DirectoryAnswer answer = directory.Answer(Region("attica"));
-  CHECK(answer.mAddresses.size() == 5);
+  directory.SetEpoch(map);
+  directory.MarkLeaving(MemberId(2));
+  directory.SetSuspects({ MemberId(3) });
+  const DirectoryResponse answer = directory.MakeResponse(Region("attica"));
+  CHECK(response.mAddresses.size() == 5);
   for (std::size_t at = 0; at < 3; ++at) {
     CHECK_FALSE(Names(answer, map.mMembers[at]));
   }
@@ -59,20 +59,20 @@
 {
   EntryDirectory directory({});
   const EpochMap map = EightMembers();
-  directory.TakeEpoch(map);
+  directory.SetEpoch(map);
   std::set<MemberId> all;
   for (const Member& member : map.mMembers) {
     all.insert(member.mId);
   }
-  directory.TakeSuspects(all);
-  CHECK(directory.Answer(Region("attica")).mAddresses.size() == 8);
+  directory.SetSuspects(all);
+  CHECK(directory.MakeResponse(Region("attica")).mAddresses.size() == 8);
 }
 
 TEST_CASE("AnswersAreKeptShorterThanANotice")
 {
-  EntryDirectory directory({ .mShortestNotice = std::chrono::seconds(30) });
-  directory.TakeEpoch(EightMembers());
-  CHECK(directory.Answer(Region("attica")).mTimeToKeep <
+  EntryDirectory directory({ .mMinReclaimNotice = std::chrono::seconds(30) });
+  directory.SetEpoch(EightMembers());
+  CHECK(directory.MakeResponse(Region("attica")).mMaxAge <
         std::chrono::seconds(15));
 }
 
@@ -80,14 +80,14 @@
 {
   EntryDirectory directory({ .mMaxEntries = 4 });
   const EpochMap map = EightMembers();
-  directory.TakeEpoch(map);
-  directory.TakeWeight(MemberId(1), 3.0);
+  directory.SetEpoch(map);
+  directory.SetEntryWeight(MemberId(1), 3.0);
   int first = 0;
   constexpr int kCallers = 10000;
   for (int caller = 0; caller < kCallers; ++caller) {
-    const DirectoryAnswer answer = directory.Answer(Region("attica"));
-    REQUIRE(answer.mAddresses.size() == 4);
-    first += answer.mAddresses[0] == map.mMembers[0].mCallerAddress ? 1 : 0;
+    const DirectoryResponse answer = directory.MakeResponse(Region("attica"));
+    REQUIRE(response.mAddresses.size() == 4);
+    first += response.mAddresses[0] == map.mMembers[0].mCallerAddress ? 1 : 0;
   }
   // Weight 3 of 10 in all.
   CHECK(first > kCallers * 27 / 100);
@@ -100,10 +100,10 @@
   EpochMap newer = EightMembers();
   newer.mEpoch = EpochNumber(2);
   newer.mMembers.pop_back();
-  directory.TakeEpoch(newer);
-  directory.TakeEpoch(EightMembers());
-  CHECK(directory.Answer(Region("attica")).mEpoch == EpochNumber(2));
-  CHECK(directory.Answer(Region("attica")).mAddresses.size() == 7);
+  directory.SetEpoch(newer);
+  directory.SetEpoch(EightMembers());
+  CHECK(directory.MakeResponse(Region("attica")).mEpoch == EpochNumber(2));
+  CHECK(directory.MakeResponse(Region("attica")).mAddresses.size() == 7);
 }
 
 } // namespace peridotspool::membership
--- a/test/membership/UpstreamRegistryTest.cpp
+++ b/test/membership/UpstreamRegistryTest.cpp
@@ -41,7 +41,7 @@
   Address mAt;
 
   explicit Pair(std::uint64_t aLife)
-    : mRegistry({ .mLife = RegistryLife(aLife) })
+    : mRegistry({ .mRegistryIncarnation = RegistryIncarnation(aLife) })
     , mAt(RegistryAddress(aLife))
   {
   }
@@ -51,13 +51,13 @@
                TimePoint aNow) const
   {
     for (const RegistrySend& send : aSends) {
-      aDirectory.Take(mAt, send.mPush, aNow);
+      aDirectory.ApplyPush(mAt, send.mPush, aNow);
     }
   }
   void Pull(UpstreamDirectory& aDirectory, TimePoint aNow)
   {
     Deliver(aDirectory,
-            mRegistry.TakePull(kEntry, aDirectory.PullFor(mAt), aNow),
+            mRegistry.HandlePull(kEntry, aDirectory.PullFor(mAt), aNow),
             aNow);
   }
 };
@@ -77,11 +77,12 @@
   Pair one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
-  one.Deliver(directory, one.mRegistry.TakeReport(Report(1), At(10)), At(10));
+  one.Deliver(
+    directory, one.mRegistry.HandleHeartbeat(Report(1), At(10)), At(10));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   one.Deliver(
     directory,
-    one.mRegistry.TakeReport(Report(2, UpstreamStage::kDraining), At(20)),
+    one.mRegistry.HandleHeartbeat(Report(2, UpstreamStage::kDraining), At(20)),
     At(20));
   CHECK(StageOf(directory) == UpstreamStage::kDraining);
 }
@@ -99,12 +100,15 @@
   two.Pull(directory, At(0));
   one.Deliver(
     directory,
-    one.mRegistry.TakeReport(Report(5, UpstreamStage::kDraining), At(1)),
+    one.mRegistry.HandleHeartbeat(Report(5, UpstreamStage::kDraining), At(1)),
     At(1));
-  one.Deliver(directory, one.mRegistry.TakeReport(Report(4), At(2)), At(2));
-  two.Deliver(directory, two.mRegistry.TakeReport(Report(4), At(3)), At(3));
+  one.Deliver(
+    directory, one.mRegistry.HandleHeartbeat(Report(4), At(2)), At(2));
+  two.Deliver(
+    directory, two.mRegistry.HandleHeartbeat(Report(4), At(3)), At(3));
   CHECK(StageOf(directory) == UpstreamStage::kDraining);
-  two.Deliver(directory, two.mRegistry.TakeGoodbye(kName, {}, At(4)), At(4));
+  two.Deliver(
+    directory, two.mRegistry.HandleDeregistration(kName, {}, At(4)), At(4));
   CHECK(StageOf(directory) == UpstreamStage::kGone);
   CHECK(directory.Find(kName)->mReport.mAddress.mPort == 80);
 }
@@ -117,7 +121,7 @@
   Pair one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
-  one.mRegistry.TakeReport(Report(1, UpstreamStage::kDraining), At(10));
+  one.mRegistry.HandleHeartbeat(Report(1, UpstreamStage::kDraining), At(10));
   CHECK(directory.Find(kName) == nullptr);
   one.Deliver(directory, one.mRegistry.Tick(At(300)), At(300));
   CHECK(StageOf(directory) == UpstreamStage::kDraining);
@@ -131,13 +135,13 @@
   Pair before(1);
   before.Pull(directory, At(0));
   before.Deliver(
-    directory, before.mRegistry.TakeReport(Report(3), At(1)), At(1));
+    directory, before.mRegistry.HandleHeartbeat(Report(3), At(1)), At(1));
   Pair after(2);
   after.mAt = before.mAt;
   after.Pull(directory, At(100));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   after.Deliver(
-    directory, after.mRegistry.TakeReport(Report(4), At(200)), At(200));
+    directory, after.mRegistry.HandleHeartbeat(Report(4), At(200)), At(200));
   CHECK(directory.Find(kName)->mReport.mSequence == 4);
 }
 
@@ -148,9 +152,10 @@
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
   two.Pull(directory, At(0));
-  one.Deliver(directory, one.mRegistry.TakeReport(Report(1), At(1)), At(1));
+  one.Deliver(
+    directory, one.mRegistry.HandleHeartbeat(Report(1), At(1)), At(1));
   two.Deliver(
-    directory, two.mRegistry.TakeReport(Report(2), At(3000)), At(3000));
+    directory, two.mRegistry.HandleHeartbeat(Report(2), At(3000)), At(3000));
   for (int ms = 300; ms <= 9000; ms += 300) {
     one.Pull(directory, At(ms));
     two.Pull(directory, At(ms));
@@ -173,18 +178,19 @@
   two.Pull(directory, At(0));
   UpstreamReport before = Report(50, UpstreamStage::kDraining);
   before.mIncarnation = Incarnation(1000);
-  one.Deliver(directory, one.mRegistry.TakeReport(before, At(1)), At(1));
-  two.Deliver(directory, two.mRegistry.TakeReport(before, At(2)), At(2));
-  two.Deliver(directory,
-              two.mRegistry.TakeGoodbye(kName, before.mIncarnation, At(3)),
-              At(3));
+  one.Deliver(directory, one.mRegistry.HandleHeartbeat(before, At(1)), At(1));
+  two.Deliver(directory, two.mRegistry.HandleHeartbeat(before, At(2)), At(2));
+  two.Deliver(
+    directory,
+    two.mRegistry.HandleDeregistration(kName, before.mIncarnation, At(3)),
+    At(3));
   UpstreamReport after = Report(1);
   after.mIncarnation = Incarnation(2000);
   after.mAddress.mPort = 81;
-  two.Deliver(directory, two.mRegistry.TakeReport(after, At(20)), At(20));
+  two.Deliver(directory, two.mRegistry.HandleHeartbeat(after, At(20)), At(20));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   CHECK(directory.Find(kName)->mReport.mAddress.mPort == 81);
-  one.Deliver(directory, one.mRegistry.TakeReport(after, At(40)), At(40));
+  one.Deliver(directory, one.mRegistry.HandleHeartbeat(after, At(40)), At(40));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
 }
 
@@ -201,17 +207,17 @@
   two.Pull(directory, At(0));
   UpstreamReport after = Report(1);
   after.mIncarnation = Incarnation(2000);
-  one.Deliver(directory, one.mRegistry.TakeReport(after, At(1)), At(1));
+  one.Deliver(directory, one.mRegistry.HandleHeartbeat(after, At(1)), At(1));
   UpstreamReport before = Report(90, UpstreamStage::kDraining);
   before.mIncarnation = Incarnation(1000);
   before.mAddress.mPort = 79;
   const auto late = [&](Pair& aPair, int aMs) {
     aPair.Deliver(
-      directory, aPair.mRegistry.TakeReport(before, At(aMs)), At(aMs));
-    aPair.Deliver(
-      directory,
-      aPair.mRegistry.TakeGoodbye(kName, before.mIncarnation, At(aMs + 1)),
-      At(aMs + 1));
+      directory, aPair.mRegistry.HandleHeartbeat(before, At(aMs)), At(aMs));
+    aPair.Deliver(directory,
+                  aPair.mRegistry.HandleDeregistration(
+                    kName, before.mIncarnation, At(aMs + 1)),
+                  At(aMs + 1));
   };
   late(one, 100);
   late(two, 200);
@@ -222,12 +228,13 @@
     two.Pull(directory, At(ms));
     two.Deliver(directory, two.mRegistry.Tick(At(ms)), At(ms));
     after.mSequence += 1;
-    one.mRegistry.TakeReport(after, At(ms));
+    one.mRegistry.HandleHeartbeat(after, At(ms));
   }
   CHECK_FALSE(directory.Find(kName)->mSilent);
   // A goodbye that names no life ends the one that is known.
-  one.Deliver(
-    directory, one.mRegistry.TakeGoodbye(kName, {}, At(6100)), At(6100));
+  one.Deliver(directory,
+              one.mRegistry.HandleDeregistration(kName, {}, At(6100)),
+              At(6100));
   CHECK(StageOf(directory) == UpstreamStage::kGone);
 }
 
@@ -245,12 +252,13 @@
     };
     std::uint64_t sequence = 0;
     for (; ms < 3000; ms += 50) {
-      lossy(one.mRegistry.TakePull(kEntry, directory.PullFor(one.mAt), At(ms)));
+      lossy(
+        one.mRegistry.HandlePull(kEntry, directory.PullFor(one.mAt), At(ms)));
       if (*rc::gen::inRange(0, 4) == 0) {
         UpstreamReport report = Report(++sequence);
         report.mName = UpstreamName(std::to_string(*rc::gen::inRange(0, 5)));
         report.mSlots = static_cast<std::uint32_t>(*rc::gen::inRange(1, 9));
-        lossy(one.mRegistry.TakeReport(report, At(ms)));
+        lossy(one.mRegistry.HandleHeartbeat(report, At(ms)));
       }
       lossy(one.mRegistry.Tick(At(ms)));
     }
@@ -294,7 +302,7 @@
     if (ms <= kUpstreams) {
       UpstreamReport report = Report(1, UpstreamStage::kDraining);
       report.mName = UpstreamName(std::to_string(ms));
-      send(one.mRegistry.TakeReport(report, At(ms)), ms);
+      send(one.mRegistry.HandleHeartbeat(report, At(ms)), ms);
     }
     send(one.mRegistry.Tick(At(ms)), ms);
   }
@@ -313,11 +321,12 @@
   Pair one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
-  one.mRegistry.TakeReport(Report(1), At(100));
+  one.mRegistry.HandleHeartbeat(Report(1), At(100));
   for (int ms = 200; ms <= 600; ms += 100) {
     UpstreamReport report = Report(1);
     report.mName = UpstreamName(std::to_string(ms));
-    one.Deliver(directory, one.mRegistry.TakeReport(report, At(ms)), At(ms));
+    one.Deliver(
+      directory, one.mRegistry.HandleHeartbeat(report, At(ms)), At(ms));
     one.Pull(directory, At(ms + 1));
   }
   CHECK(directory.Find(kName) != nullptr);
@@ -331,22 +340,23 @@
 TEST_CASE("PushesASecondAreBoundedHoweverManySubscribersThereAre")
 {
   const auto pushesInASecond = [](int aSubscribers) {
-    UpstreamRegistry registry({ .mLife = RegistryLife(1) });
+    UpstreamRegistry registry(
+      { .mRegistryIncarnation = RegistryIncarnation(1) });
     std::size_t pushes = 0;
     for (int ms = 1; ms <= 1000; ++ms) {
       if (ms % 300 == 1) {
         for (int i = 0; i < aSubscribers; ++i) {
           const Address entry{ "127.0.0.1",
                                static_cast<std::uint16_t>(1000 + i) };
-          registry.TakePull(
-            entry,
-            { .mLife = RegistryLife(1), .mVersion = registry.Version() },
-            At(ms));
+          registry.HandlePull(entry,
+                              { .mRegistryIncarnation = RegistryIncarnation(1),
+                                .mVersion = registry.Version() },
+                              At(ms));
         }
       }
       UpstreamReport report = Report(1);
       report.mName = UpstreamName(std::to_string(ms));
-      pushes += registry.TakeReport(report, At(ms)).size();
+      pushes += registry.HandleHeartbeat(report, At(ms)).size();
       pushes += registry.Tick(At(ms)).size();
     }
     return pushes;
