--- a/include/peridotspool/membership/ControlSession.h
+++ b/include/peridotspool/membership/ControlSession.h
@@ -14,17 +14,17 @@
 
 namespace peridotspool::membership {
 
-/** May an entry take new work? */
+/** Whether an entry may accept new requests, and the reason if it may not. */
 enum class ServeVerdict
 {
   kMayServe,
-  /** The control log hasn't made this process a member yet. */
+  /** The control log has not admitted this process as a member yet. */
   kNotMember,
-  /** Removed from the member list, for good. */
+  /** Permanently removed from the member list. */
   kRemoved,
   /** No majority has confirmed this process's settings since it started. */
   kNeverConfirmed,
-  /** The last confirmation is too long ago. */
+  /** The last confirmation is older than the grace period. */
   kConfirmationTooOld,
 };
 BOOST_DESCRIBE_ENUM(ServeVerdict,
@@ -35,48 +35,51 @@
                     kConfirmationTooOld)
 
 /**
- * An entry's side of its session with the control replicas: membership, lease,
- * settings and epochs. Settings and epochs only ever rise.
+ * The entry's side of its session with the control replicas: membership, lease,
+ * settings and epochs. The revision of the settings and the number of the epoch
+ * never decrease.
  *
- * A pure step without clock, thread or socket. Not thread-safe.
+ * A deterministic state machine: it uses no clock, thread or socket. Not
+ * thread-safe.
  */
 class ControlSession
 {
 public:
   explicit ControlSession(ControlSessionOptions aOptions);
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /** Applies one event; returns the effects to execute, in order. */
   ControlSessionEffects Step(const ControlSessionEvent& aEvent, TimePoint aNow);
 
-  /** Says whether the entry may take new work at aNow, and if not, why. */
+  /** Returns whether the entry may accept new requests at aNow. */
   ServeVerdict MayServe(TimePoint aNow) const;
   /**
-   * Returns true iff the leader's lease for this member holds at aNow. Asked
-   * right before an effect that only a live member may have.
+   * Returns true iff this member's lease from the leader is valid at aNow.
+   * Checked immediately before an action that only a live member may perform.
    */
   bool LeaseHolds(TimePoint aNow) const;
 
-  /** The control replicas as the leader last named them, or the first list. */
+  /** The control replicas last listed by the leader, or the initial list. */
   const std::vector<Address>& Controls() const { return mControls; }
-  /** Those of them that may lead, or all while that isn't known. */
+  /** The voting control replicas, or all replicas if that is unknown. */
   std::vector<Address> Voters() const;
   /** Unset until the process is a member. */
   MemberId Member() const { return mMember; }
-  /** The newest epoch that was taken. */
+  /** The newest epoch received. */
   const EpochMap& Epoch() const { return mEpoch; }
-  /** The newest settings that were taken. */
+  /** Revision of the newest settings received. */
   Revision ReceivedRevision() const { return mReceived; }
+  /** Revision of the settings that the entry uses. */
   Revision InForceRevision() const { return mInForce; }
-  /** The newest revision that a majority is known to have committed. */
+  /** The newest revision known to be committed by a majority. */
   Revision ConfirmedRevision() const { return mConfirmed; }
 
 private:
-  /** A heartbeat whose answer may still come. */
+  /** A heartbeat whose response may still arrive. */
   struct SentHeartbeat
   {
     std::uint64_t mSequence;
     TimePoint mSentAt;
-    /** The settings that it reported. */
+    /** Revision of the settings that the heartbeat reported. */
     Revision mInForce;
   };
 
@@ -104,7 +107,7 @@
 
   ControlSessionOptions mOptions;
   std::vector<Address> mControls;
-  /** So many of them, from the first, vote; 0 if unknown. */
+  /** The first mVoters elements of mControls vote; 0 if unknown. */
   std::size_t mVoters = 0;
   std::optional<TimePoint> mLastLeaderResponseAt;
   ControlSessionEffects mEffects;
@@ -124,7 +127,10 @@
   std::string mText;
   Revision mInForce;
   Revision mConfirmed;
-  /** When the entry's settings were last known to be the newest. */
+  /**
+   * When the last heartbeat was sent for which the leader confirmed that the
+   * entry's settings were the newest.
+   */
   std::optional<TimePoint> mLastConfirmedAt;
   TimePoint mLeaseEnd;
 };
--- a/include/peridotspool/membership/ControlSessionEffect.h
+++ b/include/peridotspool/membership/ControlSessionEffect.h
@@ -8,40 +8,43 @@
 
 namespace peridotspool::membership {
 
-/** Send a message to a control replica; it may be lost. */
+/** Send a message to a control replica. Delivery is not guaranteed. */
 struct ToControlEffect
 {
   Address mTo;
   EntryEnvelope mEnvelope;
 };
 
-/** This process is a member from now on. */
+/** This process has become a member. */
 struct JoinedEffect
 {
   MemberId mMember;
 };
 
 /**
- * The membership is over for good: the host drops what this life held and
- * starts a new session with a new nonce (or stops, when it was leaving).
+ * The membership has ended permanently. The host discards the state of this
+ * session and starts a new session with a new nonce, or stops if it was
+ * leaving.
  */
 struct RemovedEffect
 {};
 
-/** The control log wants this entry to leave: drain, then
- * HandoverCompleteEvent. */
+/**
+ * The control log requests that this entry leave: drain it, then report
+ * HandoverCompleteEvent.
+ */
 struct DrainEffect
 {};
 
-/** Put these settings in force, then answer SettingsInForceEvent. */
+/** Apply these settings, then report SettingsInForceEvent. */
 struct NewSettingsEffect
 {
   Revision mRevision;
-  /** YAML of the whole tree. */
+  /** YAML of the complete settings tree. */
   std::string mText;
 };
 
-/** Member lists in rising order; none is given twice. */
+/** A new member list. Epochs are delivered in ascending order, each once. */
 struct NewEpochEffect
 {
   EpochMap mMap;
--- a/include/peridotspool/membership/ControlSessionEvent.h
+++ b/include/peridotspool/membership/ControlSessionEvent.h
@@ -7,33 +7,33 @@
 
 namespace peridotspool::membership {
 
-/** A message came from a control replica. */
+/** A message from a control replica was received. */
 struct FromControlEvent
 {
   ToEntryMessage mMessage;
 };
 
-/** The entry works by this revision of the settings from now on. */
+/** The entry has applied this revision of the settings. */
 struct SettingsInForceEvent
 {
   Revision mRevision;
 };
 
-/** The entry is asked to stop (SIGTERM, reclaim notice). */
+/** The entry was requested to stop (SIGTERM or a reclaim notice). */
 struct LeaveEvent
 {};
 
-/** A leaving entry has handed over all that it had. */
+/** A leaving entry has handed over everything that it held. */
 struct HandoverCompleteEvent
 {};
 
-/** Members that this entry can't reach now; replaces the earlier list. */
+/** Members that this entry cannot reach; replaces the previous list. */
 struct SuspectsEvent
 {
   std::vector<MemberId> mSuspects;
 };
 
-/** Time has passed; about every 50 ms. */
+/** Advances the time; sent about every 50 ms. */
 struct SessionTickEvent
 {};
 
--- a/include/peridotspool/membership/ControlSessionOptions.h
+++ b/include/peridotspool/membership/ControlSessionOptions.h
@@ -9,22 +9,26 @@
 
 namespace peridotspool::membership {
 
-/** What an entry's session with the control replicas needs to know. */
+/** Configuration of an entry's session with the control replicas. */
 struct ControlSessionOptions
 {
-  /** Random; differs for each start of the process, never zero. */
+  /** Random, different for each start of the process, never zero. */
   EntryNonce mNonce;
   EntryProfile mProfile;
-  /** All control replicas. */
+  /** The configured control replicas. */
   std::vector<Address> mControls;
   Duration mHeartbeatPeriod = std::chrono::milliseconds(300);
-  /** An entry that has no settings yet serves nobody: it asks this often... */
+  /**
+   * Heartbeat period while the entry has no settings, and therefore can't serve
+   * requests, during the initial phase.
+   */
   Duration mInitialHeartbeatPeriod = std::chrono::milliseconds(50);
-  /** ...for this long from its start. */
+  /** Length of the initial phase, from the start of the session. */
   Duration mInitialPhase = std::chrono::seconds(5);
   /**
-   * How long the entry takes new work after the last heartbeat for which a
-   * majority of control replicas confirmed that its settings were the newest.
+   * How long the entry accepts new requests after sending the last heartbeat
+   * for which a majority of control replicas confirmed that its settings were
+   * the newest.
    */
   Duration mConfirmationGrace = std::chrono::seconds(4);
 };
--- a/include/peridotspool/membership/EntryDirectory.h
+++ b/include/peridotspool/membership/EntryDirectory.h
@@ -13,33 +13,34 @@
 
 namespace peridotspool::membership {
 
-/** Bounds of the answers to `GET /v1/entries`. */
+/** Limits of the responses to `GET /v1/entries`. */
 struct EntryDirectoryOptions
 {
-  /** The shortest notice that a reclaim gives. */
+  /** Minimum time between a reclaim notice and the reclaim. */
   Duration mMinReclaimNotice = std::chrono::seconds(30);
-  /** How many addresses an answer has, at most. */
+  /** Maximum number of addresses in a response. */
   std::size_t mMaxEntries = 8;
   std::uint64_t mRandomSeed = 1;
 };
 
-/** Which addresses a caller is to use, the first one first. */
+/** Addresses for a caller, in order of preference. */
 struct DirectoryResponse
 {
   EpochNumber mEpoch;
   std::vector<Address> mAddresses;
-  /** How long a caller may keep the response. */
+  /** How long a caller may cache the response. */
   Duration mMaxAge{ 0 };
 
   auto operator<=>(const DirectoryResponse&) const = default;
 };
 
 /**
- * Spreads callers over the healthy active entries by weight. Entries of the
- * asked region come before others, and neighbours in an answer stand in
- * different failure domains where that is possible.
+ * Distributes callers over the healthy active entries in proportion to their
+ * weights. Entries of the requested region come first, and adjacent entries in
+ * a response are in different failure domains where possible.
  *
- * Pure: the same calls give the same answers. Not thread-safe.
+ * Deterministic: the same calls with the same seed give the same responses. Not
+ * thread-safe.
  */
 class EntryDirectory
 {
@@ -47,13 +48,20 @@
   explicit EntryDirectory(EntryDirectoryOptions aOptions);
 
   void SetEpoch(const EpochMap& aMap);
-  /** Entries that can't be reached now: left out while others remain. */
+  /**
+   * Sets the entries that are currently unreachable. They are left out unless
+   * all active entries are unreachable.
+   */
   void SetSuspects(std::set<MemberId> aSuspects);
-  /** An entry's share of callers against others'; 1 unless told. */
+  /** Sets an entry's relative share of callers. The default is 1. */
   void SetEntryWeight(MemberId aMember, double aWeight);
-  /** This entry itself is leaving: left out before an epoch says so. */
+  /**
+   * Leaves out a member that is known to be leaving before an epoch marks it as
+   * draining. An entry calls this for itself.
+   */
   void MarkLeaving(MemberId aMember);
 
+  /** Selects the entries for a caller that prefers aRegion. */
   DirectoryResponse MakeResponse(const Region& aRegion);
 
 private:
--- a/include/peridotspool/membership/EntryMessage.h
+++ b/include/peridotspool/membership/EntryMessage.h
@@ -15,25 +15,28 @@
 
 namespace peridotspool::membership {
 
-/** Sent by an entry to control replicas once in a heartbeat period. */
+/** Sent by an entry to control replicas once per heartbeat period. */
 struct EntryHeartbeat
 {
-  /** Counts this process's heartbeats. */
+  /** Sequence number of the heartbeat within the session. */
   std::uint64_t mSequence = 0;
-  /** Unset until the control log has made this process a member. */
+  /** Unset until the control log has admitted this process as a member. */
   MemberId mMember;
-  /** Given until the process is a member. */
+  /** Always set until the process is a member, then set periodically. */
   std::optional<EntryProfile> mProfile;
-  /** The settings that this entry works by. */
+  /** Revision of the settings that this entry uses. */
   Revision mInForce;
   EpochNumber mEpoch;
-  /** The process wants to leave. */
+  /** The process requests to leave. */
   bool mLeaving = false;
-  /** The process has handed over all that it had. */
+  /** The process has handed over everything that it held. */
   bool mDone = false;
-  /** Members that it can't reach. */
+  /** Members that the process cannot reach. */
   std::vector<MemberId> mSuspected;
-  /** It has not heard a leader lately: whoever hears this is to answer. */
+  /**
+   * The process has not received a recent response from a leader. Any replica
+   * that receives this heartbeat is to respond.
+   */
   bool mSeeksLeader = false;
 
   auto operator<=>(const EntryHeartbeat&) const = default;
@@ -50,7 +53,7 @@
                        mSuspected,
                        mSeeksLeader))
 
-/** Asks for the settings after mHave; zero asks for the whole tree. */
+/** Requests the settings after mHave, or the whole tree if it is zero. */
 struct SettingsPull
 {
   Revision mHave;
@@ -59,7 +62,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SettingsPull, (), (mHave))
 
-/** Asks for the epochs after mHave; zero asks for all that are kept. */
+/** Requests the epochs after mHave, or all retained epochs if it is zero. */
 struct EpochPull
 {
   EpochNumber mHave;
@@ -70,7 +73,7 @@
 
 using FromEntryMessage = std::variant<EntryHeartbeat, SettingsPull, EpochPull>;
 
-/** What travels from an entry to a control replica. */
+/** A message from an entry to a control replica, with the sender's nonce. */
 struct EntryEnvelope
 {
   EntryNonce mNonce;
@@ -80,36 +83,43 @@
 };
 BOOST_DESCRIBE_STRUCT(EntryEnvelope, (), (mNonce, mMessage))
 
+/** An entry's membership as reported by a control replica. */
 enum class MembershipStatus
 {
-  /** Not a member yet, or the answering replica can't say. */
+  /** Not a member yet, or unknown to the responding replica. */
   kUnknown,
   kActive,
   kDraining,
-  /** This process's membership is over for good. */
+  /** This process's membership has ended permanently. */
   kRemoved,
 };
 BOOST_DESCRIBE_ENUM(MembershipStatus, kUnknown, kActive, kDraining, kRemoved)
 
-/** The answer to a heartbeat. */
+/** The response to a heartbeat. */
 struct HeartbeatResponse
 {
+  /** Sequence number of the heartbeat. */
   std::uint64_t mSequence = 0;
-  /** True iff the replica leads and its lease holds; else only a hint. */
+  /**
+   * True iff the replica is the leader and its lease is valid. Otherwise the
+   * response is only a hint about where the replicas are.
+   */
   bool mLeads = false;
   std::optional<Address> mLeaderHint;
-  /** From here on only a leader's answer counts. */
+  /** The fields from here to mLease are valid only in a leader's response. */
   MembershipStatus mMembershipStatus = MembershipStatus::kUnknown;
   MemberId mMember;
-  /** The newest committed settings, confirmed by a majority of replicas. */
+  /** Newest committed settings, confirmed by a majority of replicas. */
   Revision mConfirmed;
   EpochNumber mEpoch;
-  /** Runs from the moment when the heartbeat was sent; zero for none. */
+  /** Starts when the heartbeat was sent; zero means no lease. */
   Duration mLease{ 0 };
-  /** Where the control replicas are, as far as the answering one knows; in a
-   * leader's answer those that vote come first. Not in each answer. */
+  /**
+   * Addresses of the control replicas known to the responding replica. In a
+   * leader's response the voters come first. Empty in some responses.
+   */
   std::vector<Address> mControls;
-  /** How many of them vote; 0 if that isn't said. */
+  /** Number of voters in mControls; 0 if not specified. */
   std::uint32_t mVoters = 0;
 
   auto operator<=>(const HeartbeatResponse&) const = default;
@@ -127,10 +137,10 @@
                        mControls,
                        mVoters))
 
-/** Committed settings: either deltas on mBase or the whole tree. */
+/** Committed settings, either as deltas on mBase or as the whole tree. */
 struct SettingsPush
 {
-  /** The deltas' base; zero with mWhole. */
+  /** Revision that the deltas apply to; zero if mWhole is set. */
   Revision mBase;
   Revision mRevision;
   std::vector<TextDelta> mDeltas;
@@ -144,10 +154,10 @@
                       (),
                       (mBase, mRevision, mDeltas, mWhole, mDigest))
 
-/** Committed epochs in rising order. */
+/** Committed epochs in ascending order. */
 struct EpochPush
 {
-  /** The first map, for an entry that lacks the base of mChanges. */
+  /** The base of mChanges, for an entry that does not have it. */
   std::optional<EpochMap> mWhole;
   std::vector<EpochChange> mChanges;
 
--- a/include/peridotspool/membership/EntryNonce.h
+++ b/include/peridotspool/membership/EntryNonce.h
@@ -4,7 +4,7 @@
 
 namespace peridotspool::membership {
 
-/** Random number of one life of an entry process, made when it starts. */
+/** Random identifier of one session of an entry, generated when it starts. */
 using EntryNonce = NumberId<struct EntryNonceTag>;
 
 } // namespace peridotspool::membership
--- a/include/peridotspool/membership/EntryProfile.h
+++ b/include/peridotspool/membership/EntryProfile.h
@@ -8,7 +8,7 @@
 
 namespace peridotspool::membership {
 
-/** What an entry process says of itself when it joins. */
+/** What an entry process reports about itself when it joins. */
 struct EntryProfile
 {
   EntryName mName;
--- a/include/peridotspool/membership/EpochChange.h
+++ b/include/peridotspool/membership/EpochChange.h
@@ -7,10 +7,10 @@
 
 namespace peridotspool::membership {
 
-/** What an epoch changes in the member list of the one before it. */
+/** Difference between the member lists of an epoch and its predecessor. */
 struct EpochChange
 {
-  /** The epoch that this change makes. */
+  /** The epoch that results from this change. */
   EpochNumber mEpoch;
   std::vector<Member> mAdded;
   std::vector<MemberId> mDraining;
@@ -20,7 +20,10 @@
 };
 BOOST_DESCRIBE_STRUCT(EpochChange, (), (mEpoch, mAdded, mDraining, mRemoved))
 
-/** Changes the map of the epoch before into that of aChange.mEpoch. */
+/**
+ * Updates aMap to the epoch aChange.mEpoch. aMap must be the map of the
+ * preceding epoch.
+ */
 void
 ApplyChange(EpochMap& aMap, const EpochChange& aChange);
 
--- a/include/peridotspool/membership/EpochMap.h
+++ b/include/peridotspool/membership/EpochMap.h
@@ -7,13 +7,14 @@
 namespace peridotspool::membership {
 
 /**
- * The member list of one epoch. Only a committed entry of the control log
- * makes one, so all processes that know an epoch's number know the same list.
+ * The member list of one epoch. Epochs are created only by committed entries of
+ * the control log, so all processes that know an epoch's number have the same
+ * list for it.
  */
 struct EpochMap
 {
   EpochNumber mEpoch;
-  /** Ordered by MemberId. */
+  /** Sorted by MemberId. */
   std::vector<Member> mMembers;
 
   auto operator<=>(const EpochMap&) const = default;
--- a/include/peridotspool/membership/Member.h
+++ b/include/peridotspool/membership/Member.h
@@ -9,25 +9,26 @@
 
 namespace peridotspool::membership {
 
+/** Whether a member accepts new work. */
 enum class MemberState
 {
-  /** Holds ledger shards and takes callers. */
+  /** Holds ledger shards and serves callers. */
   kActive,
-  /** Leaving: takes no new shards or callers, still hands over what it has. */
+  /** Leaving: accepts no new shards or callers and hands over what it holds. */
   kDraining,
 };
 BOOST_DESCRIBE_ENUM(MemberState, kActive, kDraining)
 
-/** One entry process as the control log knows it. */
+/** An entry process as recorded in the control log. */
 struct Member
 {
   MemberId mId;
   EntryName mName;
   Region mRegion;
   FailureDomain mDomain;
-  /** Where other processes of the system reach it. */
+  /** Address for other processes of the system. */
   Address mPeerAddress;
-  /** Where callers reach it. */
+  /** Address for callers. */
   Address mCallerAddress;
   MemberState mState = MemberState::kActive;
 
--- a/include/peridotspool/membership/RegistryMessage.h
+++ b/include/peridotspool/membership/RegistryMessage.h
@@ -14,21 +14,29 @@
 
 namespace peridotspool::membership {
 
-/** Names one life of a registry; its versions mean nothing in another one. */
+/**
+ * Identifies one incarnation of a registry process. Versions of different
+ * incarnations can't be compared.
+ */
 using RegistryIncarnation = NumberId<struct RegistryIncarnationTag>;
 
-/** How late a heartbeat may come after the goodbye that it was sent before. */
+/**
+ * Maximum delay after a deregistration of a heartbeat that was sent before it.
+ */
 constexpr Duration kLateHeartbeatWindow = std::chrono::seconds(1);
 
-/** One upstream in a registry. */
+/** The state of one upstream in a registry. */
 struct RegistryRow
 {
   UpstreamReport mReport;
-  /** The registry has not heard from it lately; it may speak to another. */
+  /**
+   * The registry has not received a recent heartbeat. The upstream may be
+   * sending heartbeats to another registry.
+   */
   bool mSilent = false;
-  /** How long the registry had known the incarnation when it sent this. */
+  /** How long before this push the registry first received a report of it. */
   std::uint64_t mIncarnationAgeMs = 0;
-  /** Age of the last goodbye that named no incarnation. */
+  /** Age of the last deregistration that specified no incarnation. */
   std::optional<std::uint64_t> mDeregistrationAgeMs;
 
   auto operator<=>(const RegistryRow&) const = default;
@@ -38,7 +46,7 @@
   (),
   (mReport, mSilent, mIncarnationAgeMs, mDeregistrationAgeMs))
 
-/** Says what a subscriber has of a registry, and keeps its subscription. */
+/** Reports a subscriber's version of a registry and renews its subscription. */
 struct RegistryPull
 {
   RegistryIncarnation mRegistryIncarnation;
@@ -48,7 +56,10 @@
 };
 BOOST_DESCRIBE_STRUCT(RegistryPull, (), (mRegistryIncarnation, mVersion))
 
-/** The rows that changed after mFrom up to mTo; from 0 it is all of them. */
+/**
+ * The rows that changed after version mFrom, up to version mTo. If mFrom is 0,
+ * these are all rows.
+ */
 struct RegistryPush
 {
   RegistryIncarnation mRegistryIncarnation;
--- a/include/peridotspool/membership/UpstreamDirectory.h
+++ b/include/peridotspool/membership/UpstreamDirectory.h
@@ -10,34 +10,39 @@
 
 namespace peridotspool::membership {
 
-/** One upstream as all registries together know it. */
+/** The state of one upstream, merged from all registries. */
 struct KnownUpstream
 {
   UpstreamReport mReport;
-  /** No registry hears it. It may work all the same. */
+  /** No registry receives its heartbeats. It may still be running. */
   bool mSilent = false;
-  /** When the first registry heard of its incarnation. */
+  /** When a registry first received a report of its incarnation. */
   TimePoint mSince;
 };
 
 /**
- * Puts several registries together. Stages only ever advance, and the highest
- * sequence says the rest, so the order in which registries are heard does not
- * matter. A goodbye that names no incarnation ends the one that was known
- * before it.
+ * Merges the contents of several registries. The stage of an incarnation only
+ * advances, and the report with the highest sequence number determines the
+ * other fields, so the result does not depend on the order of the pushes. A
+ * deregistration that specifies no incarnation ends the incarnation that was
+ * known before it.
  *
- * A pure step without clock, thread or socket. Not thread-safe.
+ * A deterministic state machine: it uses no clock, thread or socket. Not
+ * thread-safe.
  */
 class UpstreamDirectory
 {
 public:
-  /** Takes a push; returns the upstreams that changed. */
+  /** Merges a push; returns the upstreams that changed. */
   std::vector<UpstreamName> ApplyPush(const Address& aFrom,
                                       const RegistryPush& aPush,
                                       TimePoint aNow);
-  /** What to tell a registry: what is known of it. */
+  /** Returns the pull to send to a registry, with its last known version. */
   RegistryPull PullFor(const Address& aRegistry) const;
-  /** Forgets upstreams that are gone, or silent for long. */
+  /**
+   * Removes upstreams that have been gone or silent for longer than the
+   * retention period; returns their names.
+   */
   std::vector<UpstreamName> Forget(TimePoint aNow);
 
   const KnownUpstream* Find(const UpstreamName& aName) const;
@@ -51,10 +56,13 @@
   {
     RegistryIncarnation mRegistryIncarnation;
     std::uint64_t mVersion = 0;
-    /** Whom it speaks of, and whether it hears them. */
+    /**
+     * The upstreams in the registry, and whether it receives their heartbeats.
+     */
     std::unordered_map<UpstreamName, bool> mReceivesHeartbeats;
   };
 
+  /** Returns false iff aReport is of an earlier incarnation. */
   bool UpdateIncarnation(const UpstreamReport& aReport);
   bool Merge(const RegistryRow& aRow, TimePoint aNow);
   void RecordDeregistration(const RegistryRow& aRow, TimePoint aNow);
@@ -63,9 +71,9 @@
 
   std::map<Address, RegistryState> mRegistries;
   std::unordered_map<UpstreamName, KnownUpstream> mKnown;
-  /** When an upstream last said goodbye without naming its incarnation. */
+  /** Time of the last deregistration that specified no incarnation. */
   std::unordered_map<UpstreamName, TimePoint> mDeregistrations;
-  /** Since when an upstream is gone or silent. */
+  /** When an upstream became gone or silent. */
   std::unordered_map<UpstreamName, TimePoint> mInactiveSince;
 };
 
--- a/include/peridotspool/membership/UpstreamRegistry.h
+++ b/include/peridotspool/membership/UpstreamRegistry.h
@@ -12,33 +12,43 @@
 
 struct UpstreamRegistryOptions
 {
-  /** Random; differs for each start of the process, never zero. */
+  /** Random, different for each start of the process, never zero. */
   RegistryIncarnation mRegistryIncarnation;
-  /** An upstream that was not heard for this long counts as silent. */
+  /** An upstream without a heartbeat for longer than this is silent. */
   Duration mSilentAfter = std::chrono::milliseconds(4500);
-  /** Rows of silent and gone upstreams are forgotten after this long. */
+  /** Rows of silent and gone upstreams are removed after this time. */
   Duration mForgetAfter = std::chrono::seconds(90);
-  /** Pushes that were not confirmed for this long are sent again. */
+  /** Pushes that are not confirmed within this time are sent again. */
   Duration mResendAfter = std::chrono::milliseconds(250);
-  /** Pushes to one subscriber that go out at once... */
+  /**
+   * Maximum number of consecutive pushes to one subscriber before they are
+   * spaced.
+   */
   std::uint32_t mMaxBurst = 3;
-  /** ...before they are spaced, until there was none for this long. */
+  /** Pushes are spaced after a burst until none was sent for this time. */
   Duration mBurstResetAfter = std::chrono::milliseconds(100);
+  /** Minimum time between pushes to one subscriber after a burst. */
   Duration mSpacing = std::chrono::milliseconds(10);
-  /** The same for each subscriber, where there are many. */
+  /**
+   * The spacing is at least this times the number of subscribers, which bounds
+   * the pushes per second to all of them.
+   */
   Duration mSpacingPerSubscriber = std::chrono::microseconds(500);
-  /** An incarnation first heard this soon after a goodbye is the one that said
-   * it: an upstream goes on serving for longer than that. */
+  /**
+   * An incarnation that is first reported within this time after a
+   * deregistration is the one that was deregistered: an upstream continues to
+   * serve for longer than this after it deregisters.
+   */
   Duration mLateHeartbeatWindow = kLateHeartbeatWindow;
-  /** Silence is looked for this often. */
+  /** Interval between checks for silent upstreams and expired subscribers. */
   Duration mSweepPeriod = std::chrono::milliseconds(100);
-  /** A subscriber that did not pull for this long has gone. */
+  /** A subscriber that does not pull for longer than this is removed. */
   Duration mSubscriberTimeout = std::chrono::milliseconds(2500);
   std::size_t mMaxRows = 16384;
   std::size_t mMaxSubscribers = 4096;
 };
 
-/** A message that the host is to send; it may be lost. */
+/** A message for the host to send. Delivery is not guaranteed. */
 struct RegistrySend
 {
   Address mTo;
@@ -46,29 +56,37 @@
 };
 
 /**
- * The upstreams that announce themselves to this process, and who is told of
- * them. Soft state: upstreams repeat their heartbeats, so nothing is kept on a
- * disk, and each registry knows only what it was told itself; a subscriber
- * puts the registries together (UpstreamDirectory).
+ * Stores the upstreams that send heartbeats to this process and pushes changes
+ * to subscribers. The state is soft: upstreams repeat their heartbeats, so
+ * nothing is persisted. Each registry contains only what was reported to it
+ * directly; subscribers merge the registries (UpstreamDirectory).
  *
- * A pure step without clock, thread or socket. Not thread-safe.
+ * A deterministic state machine: it uses no clock, thread or socket. Not
+ * thread-safe.
  */
 class UpstreamRegistry
 {
 public:
   explicit UpstreamRegistry(UpstreamRegistryOptions aOptions);
 
-  /** Takes a heartbeat; returns what its subscribers are to be told at once. */
+  /** Applies a heartbeat; returns the pushes to send immediately. */
   std::vector<RegistrySend> HandleHeartbeat(UpstreamReport aReport,
                                             TimePoint aNow);
-  /** Takes a goodbye; one that names no incarnation ends the newest one. */
+  /**
+   * Applies a deregistration. If it specifies no incarnation, it ends the
+   * newest one.
+   */
   std::vector<RegistrySend> HandleDeregistration(const UpstreamName& aName,
                                                  Incarnation aIncarnation,
                                                  TimePoint aNow);
+  /** Confirms the subscriber's version and renews its subscription. */
   std::vector<RegistrySend> HandlePull(const Address& aFrom,
                                        const RegistryPull& aPull,
                                        TimePoint aNow);
-  /** About every 10 ms: silence, and pushes that waited or got lost. */
+  /**
+   * Called about every 10 ms. Detects silent upstreams and sends pushes that
+   * were delayed or lost.
+   */
   std::vector<RegistrySend> Tick(TimePoint aNow);
 
   std::size_t Size() const { return mRows.size(); }
@@ -78,23 +96,27 @@
   struct Row
   {
     RegistryRow mRow;
+    /** When the last heartbeat or deregistration was received. */
     TimePoint mLastHeardAt;
-    /** When its incarnation was first heard. */
+    /** When its incarnation was first reported. */
     TimePoint mIncarnationSeenAt;
-    /** When it last said goodbye without naming its incarnation. */
+    /** Time of the last deregistration that specified no incarnation. */
     std::optional<TimePoint> mDeregisteredAt;
+    /** Version of the last change. */
     std::uint64_t mVersion = 0;
-    /** Subscribers were told all of it before its last change. */
+    /** The complete row was published before its last change. */
     bool mPreviouslyPushed = false;
   };
   struct Subscriber
   {
+    /** Version that the subscriber last reported. */
     std::uint64_t mConfirmed = 0;
+    /** Version of the last push. */
     std::uint64_t mPushed = 0;
     TimePoint mPushedAt;
-    /** Pushes with little time between them, up to the last one. */
+    /** Number of consecutive pushes without a pause of mBurstResetAfter. */
     std::uint32_t mBurstCount = 0;
-    /** Since when nothing more was confirmed of what was pushed. */
+    /** When the wait for a confirmation of the last pushes started. */
     TimePoint mUnconfirmedSince;
     TimePoint mLastPullAt;
   };
@@ -116,7 +138,7 @@
 
   UpstreamRegistryOptions mOptions;
   std::unordered_map<UpstreamName, Row> mRows;
-  /** Rows by the version of their last change. */
+  /** Upstream names by the version of the row's last change. */
   std::map<std::uint64_t, UpstreamName> mByVersion;
   std::map<Address, Subscriber> mSubscribers;
   std::uint64_t mVersion = 1;
--- a/include/peridotspool/membership/UpstreamReport.h
+++ b/include/peridotspool/membership/UpstreamReport.h
@@ -11,37 +11,41 @@
 
 namespace peridotspool::membership {
 
+/** Lifecycle stage of an upstream process; it only advances. */
 enum class UpstreamStage
 {
   kReady,
-  /** Finishes what it has and takes no new work. */
+  /** Finishes its current requests and accepts no new ones. */
   kDraining,
-  /** Has said goodbye, for good. */
+  /** Deregistered; this stage is final for the incarnation. */
   kGone,
 };
 BOOST_DESCRIBE_ENUM(UpstreamStage, kReady, kDraining, kGone)
 
-/** What an upstream says of itself in a heartbeat. */
+/** What an upstream reports about itself in a heartbeat. */
 struct UpstreamReport
 {
   UpstreamName mName;
   /**
-   * Of the upstream's process. It may start again under the same name and then
-   * knows nothing of before; 0 where it does not say.
+   * Incarnation of the upstream's process, which may restart under the same
+   * name without any earlier state; 0 if not reported.
    */
   Incarnation mIncarnation;
   ServiceName mService;
   Address mAddress;
   FailureDomain mDomain;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   std::uint32_t mSlots = 1;
   UpstreamStage mStage = UpstreamStage::kReady;
-  /** Rises with each heartbeat of an incarnation: a late one is known by it. */
+  /**
+   * Increases with each heartbeat of an incarnation, so that a delayed
+   * heartbeat can be recognised.
+   */
   std::uint64_t mSequence = 0;
-  /** How much longer it stays slow after its start. */
+  /** Remaining time for which the upstream is slow after its start. */
   Duration mColdFor{ 0 };
   bool mReclaimable = false;
-  /** Of its software; unset where it does not say. */
+  /** Version of the upstream's software; unset if not reported. */
   VersionName mVersion;
 
   auto operator<=>(const UpstreamReport&) const = default;
--- a/src/membership/ControlSession.cpp
+++ b/src/membership/ControlSession.cpp
@@ -8,13 +8,22 @@
 
 namespace {
 
-/** Heartbeats whose answers still count. */
+/** Maximum number of heartbeats whose responses are still accepted. */
 constexpr std::size_t kMaxSent = 64;
-/** A control replica that restarted learns the profile from every so many. */
+/**
+ * Number of heartbeats per heartbeat with a profile. A control replica that
+ * restarted learns the profile from these.
+ */
 constexpr std::uint64_t kProfileHeartbeatInterval = 4;
-/** Replicas that can't lead hear every so many; a power of two. */
+/**
+ * Number of heartbeats per heartbeat that is also sent to replicas that can't
+ * lead. Must be a power of two.
+ */
 constexpr std::uint64_t kLearnerHeartbeatInterval = 2;
-/** Without a leader's word for this long, the first list is asked as well. */
+/**
+ * After this time without a response from a leader, heartbeats are also sent to
+ * the configured replicas.
+ */
 constexpr Duration kLeaderTimeout = std::chrono::seconds(2);
 
 bool
@@ -42,12 +51,13 @@
   return std::exchange(mEffects, {});
 }
 
-// An entry that can't confirm its settings may be on the wrong side of a cut,
-// while an accepted edit is in force elsewhere. It goes on for the grace, so
-// that a change of the control leader stops nobody, and then takes no new work,
-// so that the old settings are out of force within seconds. The confirmation
-// counts from the sending of the heartbeat: a process that was frozen finds it
-// too old when it wakes.
+// An entry that can't confirm its settings may be on the minority side of a
+// network partition while other entries already use newer settings. It
+// continues for a grace period, so that a change of the control leader
+// interrupts no service, and then accepts no new requests, so that old settings
+// stop being used within seconds. The age of the confirmation is measured from
+// the sending of the heartbeat, so that a process that was suspended finds it
+// too old when it resumes.
 ServeVerdict
 ControlSession::MayServe(TimePoint aNow) const
 {
@@ -83,7 +93,7 @@
 {
   if (aEvent.mRevision > mInForce && aEvent.mRevision <= mReceived) {
     mInForce = aEvent.mRevision;
-    // Said at once: operators wait for the slowest entry.
+    // Reported immediately because operators wait for the slowest entry.
     SendHeartbeat(false);
   }
 }
@@ -135,8 +145,9 @@
          mNow - *mLastLeaderResponseAt >= kLeaderTimeout;
 }
 
-// Only voters judge silence, and one of them leads; the others answer callers
-// who ask for entries, and are told less often.
+// Only voters decide whether an entry is silent, and only a voter can be the
+// leader. The other replicas serve callers that request the list of entries,
+// and receive heartbeats less often.
 void
 ControlSession::SendHeartbeat(bool aToAll)
 {
@@ -175,9 +186,10 @@
            mControls.begin() + static_cast<std::ptrdiff_t>(count) };
 }
 
-// The leader may be a replica that this process was never told of, while those
-// that it was told of are followers, or gone. What they say of others is only
-// a place to ask: nothing rests on it.
+// The leader may be a replica that is unknown to this process, while the known
+// replicas are followers or no longer exist. Addresses from followers are used
+// only as additional destinations for heartbeats; correctness does not depend
+// on them.
 void
 ControlSession::AddControlHints(const HeartbeatResponse& aResponse)
 {
@@ -194,8 +206,9 @@
   }
 }
 
-// All replicas that the leader named may be gone since, with an entry that was
-// cut off meanwhile; the first list is what it can begin again from.
+// All replicas that the leader listed may have been replaced while this entry
+// was partitioned from them. The configured list lets the entry find the
+// current replicas.
 std::vector<Address>
 ControlSession::Reachable() const
 {
@@ -252,7 +265,8 @@
     return;
   }
   mConfirmed = std::max(mConfirmed, aResponse.mConfirmed);
-  // The heartbeat was confirmed against what it reported then.
+  // The response confirms the revision that this heartbeat reported, which may
+  // be older than the current one.
   if (sent->mInForce.IsSet() && sent->mInForce >= aResponse.mConfirmed) {
     mLastConfirmedAt =
       std::max(mLastConfirmedAt.value_or(sent->mSentAt), sent->mSentAt);
@@ -284,8 +298,8 @@
   }
 }
 
-// Messages may come late and twice. Only a higher revision than any taken
-// before is looked at, so that settings never go back.
+// Messages may be delayed or duplicated. Only a revision higher than
+// the last received one is processed, so that settings are never reverted.
 void
 ControlSession::HandleMessage(const SettingsPush& aPush)
 {
@@ -294,7 +308,7 @@
   }
   auto text = TextOf(aPush);
   if (!text || DigestOf(*text) != aPush.mDigest) {
-    // The base is another one, or the text isn't what was committed.
+    // The deltas have a different base, or the text is not the committed one.
     Send(Reachable(), SettingsPull{ text ? Revision() : mReceived });
     return;
   }
@@ -317,8 +331,9 @@
   for (const TextDelta& delta : aPush.mDeltas) {
     text = text ? ApplyDelta(*text, delta, reason) : std::nullopt;
   }
-  // Returned empty, a delta that doesn't fit is pulled again as deltas, and
-  // again; the whole tree ends that.
+  // If a delta can't be applied, an empty text is returned, which fails the
+  // digest check and makes the caller pull the whole tree. Returning nullopt
+  // would pull the same deltas repeatedly.
   return text ? text : std::optional<std::string>(std::in_place);
 }
 
--- a/src/membership/EntryDirectory.cpp
+++ b/src/membership/EntryDirectory.cpp
@@ -8,10 +8,13 @@
 
 namespace {
 
-/** An answer must be asked for anew well before a reclaimed entry is gone. */
+/**
+ * Number of response lifetimes per reclaim notice. A cached response must
+ * expire well before a reclaimed entry stops.
+ */
 constexpr std::int64_t kResponsesPerNotice = 3;
 
-/** A candidate in the order of preference; the lowest key comes first. */
+/** A candidate with its sort key; lower keys are preferred. */
 struct Ranked
 {
   const Member* mMember = nullptr;
@@ -19,7 +22,10 @@
   double mKey = 0.0;
 };
 
-/** Moves entries so that neighbours stand in different domains if possible. */
+/**
+ * Reorders entries within a region so that adjacent ones are in different
+ * failure domains where possible.
+ */
 std::vector<const Member*>
 SpreadDomains(std::vector<const Member*> aOrdered)
 {
@@ -95,13 +101,13 @@
       healthy.push_back(&member);
     }
   }
-  // When everybody is suspected, it is this entry that is cut off; an empty
-  // answer would send its callers nowhere.
+  // If all entries are suspected, this entry itself is most likely partitioned.
+  // An empty response would leave its callers without any entry.
   return healthy.empty() ? active : healthy;
 }
 
-// Drawing by exponential keys picks each entry first in proportion to its
-// weight (weighted sampling without replacement).
+// Weighted sampling without replacement: with exponentially distributed keys,
+// the probability that an entry comes first is proportional to its weight.
 double
 EntryDirectory::Key(MemberId aMember)
 {
--- a/src/membership/EpochChange.cpp
+++ b/src/membership/EpochChange.cpp
@@ -18,7 +18,7 @@
       member.mState = MemberState::kDraining;
     }
   }
-  // Ids only rise, so the list stays ordered.
+  // Member ids are assigned in ascending order, so the list stays sorted.
   aMap.mMembers.insert(
     aMap.mMembers.end(), aChange.mAdded.begin(), aChange.mAdded.end());
   aMap.mEpoch = aChange.mEpoch;
--- a/src/membership/UpstreamDirectory.cpp
+++ b/src/membership/UpstreamDirectory.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/** How long gone or silent upstreams are retained. */
 constexpr Duration kForgetAfter = std::chrono::seconds(60);
 
 } // namespace
@@ -20,8 +21,8 @@
     if (aPush.mFrom != 0) {
       return {};
     }
-    // A registry that restarted knows nothing yet: what its earlier life knew
-    // stays known here until the upstreams have spoken to somebody.
+    // A restarted registry is empty. Upstreams learned from its previous
+    // incarnation are kept until they have sent a heartbeat to some registry.
     registry =
       RegistryState{ .mRegistryIncarnation = aPush.mRegistryIncarnation,
                      .mVersion = 0,
@@ -48,9 +49,9 @@
   return changed;
 }
 
-// Registries hear of a new incarnation one after the other. What those that
-// still speak of an earlier one say is over; returns true iff the report
-// counts.
+// Registries learn of a new incarnation at different times. Reports of an
+// earlier incarnation are outdated and ignored. The first report of a new one
+// discards the state of the previous incarnation.
 bool
 UpstreamDirectory::UpdateIncarnation(const UpstreamReport& aReport)
 {
@@ -81,9 +82,11 @@
   }
 }
 
-// The registry that took the goodbye may never have heard of the incarnation
-// that said it, and may say the same again, to a subscriber that starts, after
-// the next incarnation has begun. Only the order of the two moments tells.
+// The registry that received the deregistration may not know the incarnation
+// that sent it, and may send the deregistration again, to a subscriber that has
+// just started, after the next incarnation has begun. Which incarnation it ends
+// can be determined only by comparing the time of the deregistration with the
+// time when the incarnation was first reported.
 bool
 UpstreamDirectory::ApplyDeregistration(const UpstreamName& aName)
 {
@@ -115,7 +118,7 @@
   }
   place->second.mSince = std::min(place->second.mSince, since);
   const UpstreamReport before = known;
-  // A goodbye that carries only the name must not erase the rest.
+  // A deregistration that carries only the name must not clear other fields.
   if (report.mSequence >= known.mSequence && !report.mAddress.mHost.empty()) {
     known = report;
   }
--- a/src/membership/UpstreamRegistry.cpp
+++ b/src/membership/UpstreamRegistry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Returns true iff subscribers have to hear of the difference. */
+/** Returns true iff the report changes what subscribers need to know. */
 bool
 NeedsPush(const RegistryRow& aRow, const UpstreamReport& aReport)
 {
@@ -41,7 +41,8 @@
   mByVersion.emplace(aRow.mVersion, aRow.mRow.mReport.mName);
 }
 
-// Of an upstream that leaves only that is told: all else was told before.
+// For an upstream that is leaving, only the stage and the sequence number are
+// sent if the complete row was published before.
 RegistryRow
 UpstreamRegistry::MakePushRow(const Row& aRow, TimePoint aNow)
 {
@@ -60,8 +61,8 @@
   return row;
 }
 
-// A heartbeat that was sent before the goodbye may arrive after it, and be the
-// first that is heard of its incarnation here.
+// A heartbeat that was sent before the deregistration may arrive after it, and
+// may be the first report of its incarnation at this registry.
 bool
 UpstreamRegistry::IsInLateHeartbeatWindow(const Row& aRow, TimePoint aNow) const
 {
@@ -69,9 +70,10 @@
          aNow - *aRow.mDeregisteredAt < mOptions.mLateHeartbeatWindow;
 }
 
-// A heartbeat may be delayed for seconds and arrive after one that said that
-// the upstream leaves. Taken as news it would bring work back to an upstream
-// that is about to exit; its lower sequence shows that it is old.
+// A heartbeat may be delayed for seconds and arrive after one that reported
+// that the upstream is leaving. If it were treated as current, requests would
+// again be sent to an upstream that is about to exit. Its lower sequence number
+// shows that it is outdated.
 std::vector<RegistrySend>
 UpstreamRegistry::HandleHeartbeat(UpstreamReport aReport, TimePoint aNow)
 {
@@ -113,10 +115,11 @@
   return PushAll(aNow);
 }
 
-// An upstream that crashed may start again under its name, with its heartbeats
-// counted anew. Compared by their numbers alone they would all look late, and
-// it would stay unheard, or gone, until it had sent as many as before. All that
-// was known of it ends with the incarnation that it was known of.
+// An upstream that crashed may restart under the same name, with sequence
+// numbers that start again. If only sequence numbers were compared, all its
+// heartbeats would look outdated, and it would remain silent or gone until it
+// had sent as many as before. The state of an upstream therefore ends with its
+// incarnation.
 std::vector<RegistrySend>
 UpstreamRegistry::ReplaceIncarnation(Row& aRow,
                                      UpstreamReport aReport,
@@ -133,9 +136,10 @@
   return PushAll(aNow);
 }
 
-// A goodbye that names no incarnation may be of one that only other registries
-// have heard of. Subscribers know from all of them since when each incarnation
-// is known, and find out by the goodbye's age which one it ends.
+// A deregistration that specifies no incarnation may refer to one that only
+// other registries know. Subscribers learn from all registries when each
+// incarnation was first reported, and use the age of the deregistration to
+// determine which one it ends.
 std::vector<RegistrySend>
 UpstreamRegistry::HandleDeregistration(const UpstreamName& aName,
                                        Incarnation aIncarnation,
@@ -190,7 +194,7 @@
   if (has > subscriber.mConfirmed) {
     subscriber.mUnconfirmedSince = aNow;
   } else if (has < subscriber.mConfirmed || has == 0) {
-    // It has restarted, and knows less than it confirmed.
+    // The subscriber restarted and has an older version than it confirmed.
     subscriber.mPushed = has;
   }
   subscriber.mConfirmed = has;
@@ -244,8 +248,8 @@
          aNow - aSubscriber.mUnconfirmedSince >= mOptions.mResendAfter;
 }
 
-// Three hundred subscribers at a hundred pushes a second each would be more
-// than a replica can send; a few times a second is soon enough for all of them.
+// 300 subscribers with 100 pushes per second each would exceed what a replica
+// can send. A few pushes per second are sufficient for each of them.
 Duration
 UpstreamRegistry::Spacing() const
 {
@@ -254,9 +258,9 @@
                     static_cast<Duration::rep>(mSubscribers.size()));
 }
 
-// When a hundred upstreams leave within a tenth of a second, a push for each of
-// them to each of a hundred entries takes a slow link for seconds, and the last
-// ones are told too late. A little spacing gathers them.
+// If 100 upstreams leave within 0.1 s, one push per upstream to each of 100
+// entries occupies a slow link for seconds, and the last entries are notified
+// too late. A small spacing combines the changes into fewer pushes.
 bool
 UpstreamRegistry::IsDue(const Subscriber& aSubscriber, TimePoint aNow) const
 {
@@ -278,9 +282,10 @@
   return sends;
 }
 
-// What was pushed a moment ago is taken to arrive, and only what is newer is
-// sent. A subscriber that missed something takes nothing that follows it, and
-// so confirms no more: then all from what it has confirmed is sent again.
+// An unconfirmed recent push is assumed to arrive, so only newer changes are
+// sent. A subscriber that missed a push rejects all later ones and its
+// confirmed version stops advancing. All changes since that version are sent
+// again after mResendAfter.
 RegistrySend
 UpstreamRegistry::Push(const Address& aTo,
                        Subscriber& aSubscriber,
