--- a/src/membership/UpstreamDirectory.cpp
+++ b/src/membership/UpstreamDirectory.cpp
@@ -129,14 +129,14 @@
 bool
 UpstreamDirectory::UpdateSilence(const UpstreamName& aName, TimePoint aNow)
 {
-  const bool heard =
+  const bool receivesHeartbeats =
     std::any_of(mRegistries.begin(), mRegistries.end(), [&](const auto& aPair) {
       const auto row = aPair.second.mReceivesHeartbeats.find(aName);
       return row != aPair.second.mReceivesHeartbeats.end() && row->second;
     });
   KnownUpstream& known = mKnown.at(aName);
-  const bool changed = known.mSilent == heard;
-  known.mSilent = !heard;
+  const bool changed = known.mSilent == receivesHeartbeats;
+  known.mSilent = !receivesHeartbeats;
   if (known.mSilent || known.mReport.mStage == UpstreamStage::kGone) {
     mInactiveSince.try_emplace(aName, aNow);
   } else {
