--- a/include/peridotspool/membership/UpstreamRegistry.h
+++ b/include/peridotspool/membership/UpstreamRegistry.h
@@ -97,7 +97,7 @@
   {
     RegistryRow mRow;
     /** When the last heartbeat or deregistration was received. */
-    TimePoint mLastHeardAt;
+    TimePoint mLastContactAt;
     /** When its incarnation was first reported. */
     TimePoint mIncarnationSeenAt;
     /** Time of the last deregistration that specified no incarnation. */
--- a/src/membership/UpstreamRegistry.cpp
+++ b/src/membership/UpstreamRegistry.cpp
@@ -84,7 +84,7 @@
     }
     Row& row = mRows[aReport.mName];
     row.mRow.mReport = std::move(aReport);
-    row.mLastHeardAt = aNow;
+    row.mLastContactAt = aNow;
     row.mIncarnationSeenAt = aNow;
     MarkChanged(row);
     return PushAll(aNow);
@@ -101,7 +101,7 @@
       aReport.mSequence < known.mSequence) {
     return {};
   }
-  row.mLastHeardAt = aNow;
+  row.mLastContactAt = aNow;
   if (aReport.mStage < known.mStage) {
     aReport.mStage = known.mStage;
   }
@@ -129,7 +129,7 @@
     aReport.mStage = UpstreamStage::kGone;
   }
   aRow.mRow = { .mReport = std::move(aReport), .mSilent = false };
-  aRow.mLastHeardAt = aNow;
+  aRow.mLastContactAt = aNow;
   aRow.mIncarnationSeenAt = aNow;
   MarkChanged(aRow);
   aRow.mPreviouslyPushed = false;
@@ -155,7 +155,7 @@
   if (aIncarnation.IsSet() && aIncarnation < report.mIncarnation) {
     return {};
   }
-  row.mLastHeardAt = aNow;
+  row.mLastContactAt = aNow;
   const bool isNewer = isNew || aIncarnation > report.mIncarnation;
   if (isNewer) {
     report.mName = aName;
@@ -210,7 +210,7 @@
 {
   bool changed = false;
   for (auto row = mRows.begin(); row != mRows.end();) {
-    const Duration silence = aNow - row->second.mLastHeardAt;
+    const Duration silence = aNow - row->second.mLastContactAt;
     if (silence > mOptions.mForgetAfter) {
       mByVersion.erase(row->second.mVersion);
       row = mRows.erase(row);
