--- a/include/peridotspool/membership/RegistryMessage.h
+++ b/include/peridotspool/membership/RegistryMessage.h
@@ -21,7 +21,8 @@
 using RegistryIncarnation = NumberId<struct RegistryIncarnationTag>;
 
 /**
- * Maximum delay after a deregistration of a heartbeat that was sent before it.
+ * A heartbeat that was sent before a deregistration arrives at most this long
+ * after it.
  */
 constexpr Duration kLateHeartbeatWindow = std::chrono::seconds(1);
 
@@ -34,7 +35,7 @@
    * sending heartbeats to another registry.
    */
   bool mSilent = false;
-  /** How long before this push the registry first received a report of it. */
+  /** Time since the registry received the first report of the incarnation. */
   std::uint64_t mIncarnationAgeMs = 0;
   /** Age of the last deregistration that specified no incarnation. */
   std::optional<std::uint64_t> mDeregistrationAgeMs;
--- a/include/peridotspool/membership/UpstreamRegistry.h
+++ b/include/peridotspool/membership/UpstreamRegistry.h
@@ -131,6 +131,7 @@
   bool IsLost(const Subscriber& aSubscriber, TimePoint aNow) const;
   bool IsDue(const Subscriber& aSubscriber, TimePoint aNow) const;
   std::vector<RegistrySend> PushAll(TimePoint aNow);
+  /** Removes expired rows; returns true iff an upstream became silent. */
   bool MarkSilentRows(TimePoint aNow);
   RegistrySend Push(const Address& aTo,
                     Subscriber& aSubscriber,
--- a/src/membership/ControlSession.cpp
+++ b/src/membership/ControlSession.cpp
@@ -11,13 +11,13 @@
 /** Maximum number of heartbeats whose responses are still accepted. */
 constexpr std::size_t kMaxSent = 64;
 /**
- * Number of heartbeats per heartbeat with a profile. A control replica that
- * restarted learns the profile from these.
+ * Every so many heartbeats, one includes the entry's profile, so that a control
+ * replica that restarted learns it.
  */
 constexpr std::uint64_t kProfileHeartbeatInterval = 4;
 /**
- * Number of heartbeats per heartbeat that is also sent to replicas that can't
- * lead. Must be a power of two.
+ * Every so many heartbeats, one is also sent to the replicas that can't lead.
+ * Must be a power of two.
  */
 constexpr std::uint64_t kLearnerHeartbeatInterval = 2;
 /**
--- a/src/membership/EntryDirectory.cpp
+++ b/src/membership/EntryDirectory.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 /**
- * Number of response lifetimes per reclaim notice. A cached response must
- * expire well before a reclaimed entry stops.
+ * The lifetime of a response is the reclaim notice divided by this. A cached
+ * response must expire well before a reclaimed entry stops.
  */
 constexpr std::int64_t kResponsesPerNotice = 3;
 
