--- a/include/peridotspool/request/Effect.h
+++ b/include/peridotspool/request/Effect.h
@@ -102,7 +102,7 @@
 {};
 
 /** The entry could not learn whether the request is accepted. */
-struct NoAnswerReply
+struct StatusUnknownReply
 {};
 
 /** A cancel or an acknowledgement has been carried out. */
@@ -121,7 +121,7 @@
                            FinalReply,
                            MovedReply,
                            NoSuchRequestReply,
-                           NoAnswerReply,
+                           StatusUnknownReply,
                            ConfirmedReply,
                            RecordReply>;
 
--- a/include/peridotspool/request/EntryNodeEffect.h
+++ b/include/peridotspool/request/EntryNodeEffect.h
@@ -24,8 +24,8 @@
   FromMemberMessage mMessage;
 };
 
-/** Put these settings in force, then send SettingsTakenEvent. */
-struct TakeSettingsEffect
+/** Put these settings in force, then send SettingsAppliedEvent. */
+struct ApplySettingsEffect
 {
   Revision mRevision;
   std::string mText;
@@ -38,7 +38,7 @@
 };
 
 /** A newer member list was taken. */
-struct EpochTakenEffect
+struct EpochAdoptedEffect
 {
   EpochNumber mEpoch;
   std::size_t mMembers = 0;
@@ -54,9 +54,9 @@
 
 using EntryNodeEffect = std::variant<ToControlReplicaEffect,
                                      ToMemberEffect,
-                                     TakeSettingsEffect,
+                                     ApplySettingsEffect,
                                      BecameMemberEffect,
-                                     EpochTakenEffect,
+                                     EpochAdoptedEffect,
                                      LostMembershipEffect,
                                      LeftEffect,
                                      StartUpstreamEffect,
--- a/include/peridotspool/request/EntryNodeEvent.h
+++ b/include/peridotspool/request/EntryNodeEvent.h
@@ -48,7 +48,7 @@
 };
 
 /** The host has put a revision of the settings in force. */
-struct SettingsTakenEvent
+struct SettingsAppliedEvent
 {
   Revision mRevision;
   std::shared_ptr<const settings::SettingsTree> mTree;
@@ -69,7 +69,7 @@
                                     CallerEvent,
                                     UpstreamEvent,
                                     AnnouncedEvent,
-                                    SettingsTakenEvent,
+                                    SettingsAppliedEvent,
                                     UnreachableEvent,
                                     LeaveNodeEvent,
                                     TickEvent>;
--- a/include/peridotspool/request/EntryNodeOptions.h
+++ b/include/peridotspool/request/EntryNodeOptions.h
@@ -21,7 +21,7 @@
   /** From the system's random generator, given by the host. */
   std::uint64_t mRandomSeed = 1;
   /** A leaving entry stops after this long, whatever it still holds. */
-  Duration mLeaveLimit = std::chrono::seconds(25);
+  Duration mMaxLeaveTime = std::chrono::seconds(25);
 };
 
 } // namespace peridotspool::request
--- a/include/peridotspool/request/RelayMessage.h
+++ b/include/peridotspool/request/RelayMessage.h
@@ -47,13 +47,13 @@
 BOOST_DESCRIBE_STRUCT(EndedMessage, (), (mKey, mOutcome))
 
 /** The asked entry does not run this request; look at the ledger again. */
-struct NotHereMessage
+struct NotExecutorMessage
 {
   RequestKey mKey;
 
-  auto operator<=>(const NotHereMessage&) const = default;
+  auto operator<=>(const NotExecutorMessage&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(NotHereMessage, (), (mKey))
+BOOST_DESCRIBE_STRUCT(NotExecutorMessage, (), (mKey))
 
 /** A leaving executor asks another entry to take a request over. */
 struct HandOverMessage
@@ -88,7 +88,7 @@
 using RelayMessage = std::variant<FollowMessage,
                                   PieceMessage,
                                   EndedMessage,
-                                  NotHereMessage,
+                                  NotExecutorMessage,
                                   HandOverMessage,
                                   TakenOverMessage,
                                   DemandMessage>;
--- a/include/peridotspool/request/RequestOptions.h
+++ b/include/peridotspool/request/RequestOptions.h
@@ -17,7 +17,7 @@
   /** Longest wait for an upstream while none can be chosen. */
   Duration mMaxQueueWait = std::chrono::seconds(3);
   /** How often a follower asks its executor again when nothing comes. */
-  Duration mFollowAgain = std::chrono::milliseconds(700);
+  Duration mFollowRetryInterval = std::chrono::milliseconds(700);
   /** When a caller that was refused should come back. */
   Duration mRetryAfter = std::chrono::seconds(1);
   /** How long an outcome is proposed again after its deadline. */
--- a/src/http/CallerExchange.cpp
+++ b/src/http/CallerExchange.cpp
@@ -41,7 +41,7 @@
   if (std::holds_alternative<request::NoSuchRequestReply>(aReply)) {
     return PlainEnd{ kStatusNotFound, "failed", "no-such-request", "maybe" };
   }
-  if (std::holds_alternative<request::NoAnswerReply>(aReply)) {
+  if (std::holds_alternative<request::StatusUnknownReply>(aReply)) {
     return PlainEnd{ kStatusUnavailable, "failed", "not-confirmed", "maybe" };
   }
   if (std::holds_alternative<request::ConfirmedReply>(aReply)) {
--- a/src/request/ServiceDesk.cpp
+++ b/src/request/AdmissionController.cpp
@@ -1,4 +1,4 @@
-#include "request/ServiceDesk.h"
+#include "request/AdmissionController.h"
 
 #include <algorithm>
 #include <limits>
@@ -10,7 +10,7 @@
 
 /** Entries together let this many times the upstreams' slots go on: callers
  * are never spread quite evenly, and an engine batches a little beyond. */
-constexpr std::size_t kSlotsTimes = 2;
+constexpr std::size_t kMaxRunningPerSlot = 2;
 
 /** Stands for all services of a customer; no service can have this name. */
 const ServiceName&
@@ -30,21 +30,22 @@
 
 } // namespace
 
-ServiceDesk::Service::Service(MemberId aSelf)
+AdmissionController::Service::Service(MemberId aSelf)
   : mAdmission(routing::AdmissionOptions{}, aSelf)
   , mBudget(routing::RetryBudgetOptions{})
 {
 }
 
-ServiceDesk::ServiceDesk(MemberId aSelf, RequestOptions aOptions)
+AdmissionController::AdmissionController(MemberId aSelf,
+                                         RequestOptions aOptions)
   : mSelf(aSelf)
   , mOptions(aOptions)
   , mMembers{ aSelf }
 {
 }
 
-ServiceDesk::Service&
-ServiceDesk::At(const ServiceName& aService)
+AdmissionController::Service&
+AdmissionController::At(const ServiceName& aService)
 {
   const auto [place, isNew] = mServices.try_emplace(aService, mSelf);
   if (isNew) {
@@ -59,15 +60,15 @@
 }
 
 const settings::EffectiveService*
-ServiceDesk::Rules(const CustomerName& aCustomer,
-                   const ServiceName& aService) const
+AdmissionController::Rules(const CustomerName& aCustomer,
+                           const ServiceName& aService) const
 {
   return mTree ? mTree->Effective(aCustomer, aService) : nullptr;
 }
 
 std::optional<settings::EffectiveService>
-ServiceDesk::RulesOrTotal(const CustomerName& aCustomer,
-                          const ServiceName& aService) const
+AdmissionController::RulesOrTotal(const CustomerName& aCustomer,
+                                  const ServiceName& aService) const
 {
   const bool total = aService == TotalName();
   if (total && (!mTree || mTree->Services().empty())) {
@@ -83,7 +84,7 @@
 }
 
 void
-ServiceDesk::TakeMembers(std::vector<MemberId> aMembers)
+AdmissionController::SetMembers(std::vector<MemberId> aMembers)
 {
   mMembers = std::move(aMembers);
   for (auto& [name, service] : mServices) {
@@ -98,7 +99,7 @@
 }
 
 void
-ServiceDesk::TakeUpstreams(
+AdmissionController::SetUpstreams(
   const std::vector<routing::UpstreamAnnouncement>& aUpstreams)
 {
   std::map<ServiceName, std::size_t> slots;
@@ -106,15 +107,15 @@
     slots[upstream.mService] += upstream.mSlots;
   }
   for (const auto& [name, count] : slots) {
-    const std::size_t share = kSlotsTimes * count / mMembers.size();
+    const std::size_t share = kMaxRunningPerSlot * count / mMembers.size();
     At(name).mAdmission.SetMaxRunning(std::max<std::size_t>(1, share));
   }
 }
 
 routing::AdmissionOutcome
-ServiceDesk::Ask(const ServiceName& aService,
-                 const routing::AdmissionQuery& aQuery,
-                 TimePoint aNow)
+AdmissionController::Admit(const ServiceName& aService,
+                           const routing::AdmissionQuery& aQuery,
+                           TimePoint aNow)
 {
   const auto* rules = Rules(aQuery.mKey.mCustomer, aService);
   if (rules == nullptr) {
@@ -133,28 +134,28 @@
 }
 
 void
-ServiceDesk::Ended(const ServiceName& aService,
-                   const CustomerName& aCustomer,
-                   Duration aTook)
+AdmissionController::RecordEnd(const ServiceName& aService,
+                               const CustomerName& aCustomer,
+                               Duration aTook)
 {
   At(aService).mAdmission.Ended(aCustomer, aTook);
   At(TotalName()).mAdmission.Ended(aCustomer, aTook);
 }
 
-std::vector<ServiceDesk::Turn>
-ServiceDesk::Next()
+std::vector<AdmissionController::ReadyRequest>
+AdmissionController::TakeReady()
 {
-  std::vector<Turn> requests;
+  std::vector<ReadyRequest> requests;
   for (auto& [name, service] : mServices) {
     while (auto request = service.mAdmission.Next()) {
-      requests.push_back(Turn{ name, std::move(*request) });
+      requests.push_back(ReadyRequest{ name, std::move(*request) });
     }
   }
   return requests;
 }
 
 std::vector<routing::QueuedRequest>
-ServiceDesk::Late(TimePoint aNow)
+AdmissionController::TakeExpired(TimePoint aNow)
 {
   std::vector<routing::QueuedRequest> requests;
   for (auto& [name, service] : mServices) {
@@ -166,16 +167,16 @@
 }
 
 void
-ServiceDesk::CountFirstTry(const ServiceName& aService)
+AdmissionController::CountFirstTry(const ServiceName& aService)
 {
   At(aService).mBudget.CountFirstTry();
 }
 
 routing::RetryDecision
-ServiceDesk::DecideRetry(const CustomerName& aCustomer,
-                         const ServiceName& aService,
-                         const routing::FailedTry& aTry,
-                         TimePoint aNow)
+AdmissionController::DecideRetry(const CustomerName& aCustomer,
+                                 const ServiceName& aService,
+                                 const routing::FailedTry& aTry,
+                                 TimePoint aNow)
 {
   settings::RetryRules rules{ .mBudget = 1,
                               .mAttempts = mOptions.mMaxAttempts,
@@ -190,7 +191,7 @@
 }
 
 std::map<ServiceName, std::map<CustomerName, double>>
-ServiceDesk::Demand(TimePoint aNow)
+AdmissionController::Demand(TimePoint aNow)
 {
   std::map<ServiceName, std::map<CustomerName, double>> demand;
   for (auto& [name, service] : mServices) {
@@ -200,10 +201,10 @@
 }
 
 void
-ServiceDesk::TakeDemand(MemberId aFrom,
-                        const ServiceName& aService,
-                        const std::map<CustomerName, double>& aDemand,
-                        TimePoint aNow)
+AdmissionController::RecordDemand(MemberId aFrom,
+                                  const ServiceName& aService,
+                                  const std::map<CustomerName, double>& aDemand,
+                                  TimePoint aNow)
 {
   Service& service = At(aService);
   for (const auto& [customer, rate] : aDemand) {
--- a/src/request/ServiceDesk.h
+++ b/src/request/AdmissionController.h
@@ -21,36 +21,36 @@
  * settings everybody is admitted and the options' bounds hold. Not
  * thread-safe.
  */
-class ServiceDesk
+class AdmissionController
 {
 public:
   using Tree = std::shared_ptr<const settings::SettingsTree>;
 
-  ServiceDesk(MemberId aSelf, RequestOptions aOptions);
+  AdmissionController(MemberId aSelf, RequestOptions aOptions);
 
-  void TakeSettings(Tree aTree) { mTree = std::move(aTree); }
-  void TakeMembers(std::vector<MemberId> aMembers);
+  void SetSettings(Tree aTree) { mTree = std::move(aTree); }
+  void SetMembers(std::vector<MemberId> aMembers);
   /** Sets how many may run at once from the upstreams in sight. */
-  void TakeUpstreams(
+  void SetUpstreams(
     const std::vector<routing::UpstreamAnnouncement>& aUpstreams);
 
-  routing::AdmissionOutcome Ask(const ServiceName& aService,
-                                const routing::AdmissionQuery& aQuery,
-                                TimePoint aNow);
+  routing::AdmissionOutcome Admit(const ServiceName& aService,
+                                  const routing::AdmissionQuery& aQuery,
+                                  TimePoint aNow);
   /** An admitted request has ended. */
-  void Ended(const ServiceName& aService,
-             const CustomerName& aCustomer,
-             Duration aTook);
+  void RecordEnd(const ServiceName& aService,
+                 const CustomerName& aCustomer,
+                 Duration aTook);
   /** A request whose turn has come, and its service. */
-  struct Turn
+  struct ReadyRequest
   {
     ServiceName mService;
     routing::QueuedRequest mRequest;
   };
   /** Takes the requests whose turn has come; each counts as running. */
-  std::vector<Turn> Next();
+  std::vector<ReadyRequest> TakeReady();
   /** Takes queued requests that can't meet their deadline any more. */
-  std::vector<routing::QueuedRequest> Late(TimePoint aNow);
+  std::vector<routing::QueuedRequest> TakeExpired(TimePoint aNow);
 
   void CountFirstTry(const ServiceName& aService);
   routing::RetryDecision DecideRetry(const CustomerName& aCustomer,
@@ -60,10 +60,10 @@
 
   /** What callers asked for lately, for the other entries. */
   std::map<ServiceName, std::map<CustomerName, double>> Demand(TimePoint aNow);
-  void TakeDemand(MemberId aFrom,
-                  const ServiceName& aService,
-                  const std::map<CustomerName, double>& aDemand,
-                  TimePoint aNow);
+  void RecordDemand(MemberId aFrom,
+                    const ServiceName& aService,
+                    const std::map<CustomerName, double>& aDemand,
+                    TimePoint aNow);
 
   /** What holds for a customer's use of a service; null without settings. */
   const settings::EffectiveService* Rules(const CustomerName& aCustomer,
--- a/src/request/AdmissionSteps.cpp
+++ b/src/request/AdmissionSteps.cpp
@@ -11,7 +11,7 @@
 constexpr std::int32_t kStatusTooManyRequests = 429;
 constexpr std::int32_t kStatusUnavailable = 503;
 /** How often queues are looked through and upstreams' slots are counted. */
-constexpr Duration kAdmissionTick = std::chrono::milliseconds(100);
+constexpr Duration kAdmissionTickInterval = std::chrono::milliseconds(100);
 /** An entry tells each other of its demand this often at most. With many
  * entries less often, so that the bytes for it stay the same. */
 constexpr Duration kDemandPeriod = std::chrono::seconds(1);
@@ -58,7 +58,7 @@
 void
 RequestManagerState::On(const SettingsEvent& aEvent)
 {
-  mDesk.TakeSettings(aEvent.mTree);
+  mAdmission.SetSettings(aEvent.mTree);
 }
 
 void
@@ -66,12 +66,12 @@
 {
   const Execution& execution = *mRequests.at(aKey).mExecution;
   const ledger::RequestTerms& terms = execution.Record().mTerms;
-  const auto outcome =
-    mDesk.Ask(terms.mService,
-              routing::AdmissionQuery{ .mKey = aKey,
-                                       .mPriority = terms.mPriority,
-                                       .mDeadline = execution.Deadline() },
-              mNow);
+  const auto outcome = mAdmission.Admit(
+    terms.mService,
+    routing::AdmissionQuery{ .mKey = aKey,
+                             .mPriority = terms.mPriority,
+                             .mDeadline = execution.Deadline() },
+    mNow);
   const auto wait = [&](const routing::Queued&) {
     WithExecution(aKey, [](Execution& aExecution, StepContext& aContext) {
       aExecution.Wait(aContext);
@@ -95,7 +95,7 @@
 {
   mRequests.at(aKey).mAdmittedAt = mNow;
   WithExecution(aKey, [](Execution& aExecution, StepContext& aContext) {
-    aExecution.Start(aContext, ExecutionStart::kAccepted);
+    aExecution.Start(aContext, ExecutionOrigin::kAccepted);
   });
 }
 
@@ -104,14 +104,14 @@
                                  const ServiceName& aService,
                                  TimePoint aAdmittedAt)
 {
-  mDesk.Ended(aService, aKey.mCustomer, mNow - aAdmittedAt);
+  mAdmission.RecordEnd(aService, aKey.mCustomer, mNow - aAdmittedAt);
   StartNext();
 }
 
 void
 RequestManagerState::StartNext()
 {
-  for (const auto& [service, queued] : mDesk.Next()) {
+  for (const auto& [service, queued] : mAdmission.TakeReady()) {
     const auto found = mRequests.find(queued.mKey);
     const bool waits = found != mRequests.end() && found->second.mExecution &&
                        !found->second.mAdmittedAt &&
@@ -120,7 +120,7 @@
       StartAdmitted(queued.mKey);
     } else {
       // It was cancelled or lost its turn while it waited.
-      mDesk.Ended(service, queued.mKey.mCustomer, Duration(0));
+      mAdmission.RecordEnd(service, queued.mKey.mCustomer, Duration(0));
     }
   }
 }
@@ -131,9 +131,9 @@
   if (mNow < mNextAdmissionTick) {
     return;
   }
-  mNextAdmissionTick = mNow + kAdmissionTick;
-  mDesk.TakeUpstreams(mRouter.Upstreams(mNow));
-  for (const auto& late : mDesk.Late(mNow)) {
+  mNextAdmissionTick = mNow + kAdmissionTickInterval;
+  mAdmission.SetUpstreams(mRouter.Upstreams(mNow));
+  for (const auto& late : mAdmission.TakeExpired(mNow)) {
     const Refusal refusal =
       RefusalOf(routing::AdmissionReason::kDeadlineTooNear);
     WithExecution(late.mKey, [&](Execution& aExecution, StepContext& aContext) {
@@ -154,8 +154,8 @@
   const auto members = static_cast<std::int64_t>(mMembers.size());
   mNextDemand =
     mNow + std::max<Duration>(kDemandPeriod, members * kDemandPeriodPerMember);
-  for (const auto& [service, demand] : mDesk.Demand(mNow)) {
-    mDesk.TakeDemand(mSelf, service, demand, mNow);
+  for (const auto& [service, demand] : mAdmission.Demand(mNow)) {
+    mAdmission.RecordDemand(mSelf, service, demand, mNow);
     for (const auto& [member, state] : mMembers) {
       if (member != mSelf && !demand.empty()) {
         mEffects->emplace_back(
@@ -168,7 +168,7 @@
 void
 RequestManagerState::OnRelay(MemberId aFrom, const DemandMessage& aMessage)
 {
-  mDesk.TakeDemand(aFrom, aMessage.mService, aMessage.mDemand, mNow);
+  mAdmission.RecordDemand(aFrom, aMessage.mService, aMessage.mDemand, mNow);
 }
 
 } // namespace peridotspool::request
--- a/src/request/Answer.cpp
+++ b/src/request/Answer.cpp
@@ -3,7 +3,7 @@
 namespace peridotspool::request {
 
 Answer
-AnswerOf(const ledger::Outcome& aOutcome, MemberId aExecutor)
+MakeAnswer(const ledger::Outcome& aOutcome, MemberId aExecutor)
 {
   Answer answer{ .mOutcome = aOutcome, .mExecutor = aExecutor };
   if (aOutcome.mKind == ledger::OutcomeKind::kAnswered) {
--- a/src/request/Answer.h
+++ b/src/request/Answer.h
@@ -21,6 +21,6 @@
 
 /** Returns the answer that a committed outcome holds, whole. */
 Answer
-AnswerOf(const ledger::Outcome& aOutcome, MemberId aExecutor);
+MakeAnswer(const ledger::Outcome& aOutcome, MemberId aExecutor);
 
 } // namespace peridotspool::request
--- a/src/request/Audience.cpp
+++ b/src/request/AnswerSubscribers.cpp
@@ -1,4 +1,4 @@
-#include "request/Audience.h"
+#include "request/AnswerSubscribers.h"
 
 #include "peridotspool/base/Overloaded.h"
 
@@ -7,18 +7,18 @@
 namespace {
 
 void
-SendRestart(const Listener& aListener,
+SendRestart(const AnswerSubscriber& aSubscriber,
             AttemptNumber aLineage,
             Effects& aEffects)
 {
   // Another entry sees a new lineage in the next piece itself.
-  if (const CallId* exchange = std::get_if<CallId>(&aListener)) {
+  if (const CallId* exchange = std::get_if<CallId>(&aSubscriber)) {
     aEffects.emplace_back(ReplyEffect{ *exchange, RestartReply{ aLineage } });
   }
 }
 
 void
-SendText(const Listener& aListener,
+SendText(const AnswerSubscriber& aSubscriber,
          const RequestKey& aKey,
          const Answer& aAnswer,
          std::uint64_t aOffset,
@@ -34,11 +34,11 @@
       aMember,
       PieceMessage{ aKey, aAnswer.mLineage, aOffset, std::move(text) } });
   };
-  std::visit(Overloaded{ toCaller, toMember }, aListener);
+  std::visit(Overloaded{ toCaller, toMember }, aSubscriber);
 }
 
 void
-SendOutcome(const Listener& aListener,
+SendOutcome(const AnswerSubscriber& aSubscriber,
             const RequestKey& aKey,
             const Answer& aAnswer,
             Effects& aEffects)
@@ -51,31 +51,32 @@
     aEffects.emplace_back(
       RelayEffect{ aMember, EndedMessage{ aKey, *aAnswer.mOutcome } });
   };
-  std::visit(Overloaded{ toCaller, toMember }, aListener);
+  std::visit(Overloaded{ toCaller, toMember }, aSubscriber);
 }
 
 } // namespace
 
 void
-Audience::Add(const Listener& aListener, const ListenerPlace& aPlace)
+AnswerSubscribers::Add(const AnswerSubscriber& aSubscriber,
+                       const SubscriberPosition& aPosition)
 {
-  mPlaces[aListener] = aPlace;
+  mPositions[aSubscriber] = aPosition;
 }
 
 bool
-Audience::Remove(CallId aExchange)
+AnswerSubscribers::Remove(CallId aExchange)
 {
-  return mPlaces.erase(Listener(aExchange)) > 0;
+  return mPositions.erase(AnswerSubscriber(aExchange)) > 0;
 }
 
 std::vector<CallId>
-Audience::TakeCallers()
+AnswerSubscribers::RemoveCallers()
 {
   std::vector<CallId> callers;
-  for (auto place = mPlaces.begin(); place != mPlaces.end();) {
+  for (auto place = mPositions.begin(); place != mPositions.end();) {
     if (const CallId* exchange = std::get_if<CallId>(&place->first)) {
       callers.push_back(*exchange);
-      place = mPlaces.erase(place);
+      place = mPositions.erase(place);
     } else {
       ++place;
     }
@@ -84,34 +85,34 @@
 }
 
 void
-Audience::Publish(const RequestKey& aKey,
-                  const Answer& aAnswer,
-                  Effects& aEffects)
+AnswerSubscribers::Publish(const RequestKey& aKey,
+                           const Answer& aAnswer,
+                           Effects& aEffects)
 {
-  for (auto& [listener, place] : mPlaces) {
+  for (auto& [subscriber, place] : mPositions) {
     if (aAnswer.mLineage.IsSet() && place.mLineage != aAnswer.mLineage) {
       if (place.mOffset > 0) {
-        SendRestart(listener, aAnswer.mLineage, aEffects);
+        SendRestart(subscriber, aAnswer.mLineage, aEffects);
       }
-      place = ListenerPlace{ .mLineage = aAnswer.mLineage, .mOffset = 0 };
+      place = SubscriberPosition{ .mLineage = aAnswer.mLineage, .mOffset = 0 };
     }
     if (place.mOffset < aAnswer.mText.size()) {
-      SendText(listener, aKey, aAnswer, place.mOffset, aEffects);
+      SendText(subscriber, aKey, aAnswer, place.mOffset, aEffects);
       place.mOffset = aAnswer.mText.size();
     }
     if (aAnswer.mOutcome) {
-      SendOutcome(listener, aKey, aAnswer, aEffects);
+      SendOutcome(subscriber, aKey, aAnswer, aEffects);
     }
   }
   if (aAnswer.mOutcome) {
-    mPlaces.clear();
+    mPositions.clear();
   }
 }
 
 void
-Audience::MoveCallersAway(Effects& aEffects)
+AnswerSubscribers::RedirectCallers(Effects& aEffects)
 {
-  for (const CallId exchange : TakeCallers()) {
+  for (const CallId exchange : RemoveCallers()) {
     aEffects.emplace_back(ReplyEffect{ exchange, MovedReply{} });
   }
 }
--- a/src/request/Audience.h
+++ b/src/request/AnswerSubscribers.h
@@ -12,10 +12,10 @@
 namespace peridotspool::request {
 
 /** Who gets an answer: a caller's exchange here, or another entry. */
-using Listener = std::variant<CallId, MemberId>;
+using AnswerSubscriber = std::variant<CallId, MemberId>;
 
-/** How much of an answer a listener has. */
-struct ListenerPlace
+/** How much of an answer a subscriber has. */
+struct SubscriberPosition
 {
   AttemptNumber mLineage;
   std::uint64_t mOffset = 0;
@@ -26,19 +26,20 @@
  * order, whenever it joined; one whose text began at another attempt is told
  * to begin anew, so that halves of two answers never meet.
  */
-class Audience
+class AnswerSubscribers
 {
 public:
-  /** Adds a listener, or moves one that asks again to the place it names. */
-  void Add(const Listener& aListener, const ListenerPlace& aPlace);
+  /** Adds a subscriber, or moves one that asks again to the place it names. */
+  void Add(const AnswerSubscriber& aSubscriber,
+           const SubscriberPosition& aPosition);
   /** Returns true iff the caller was there. */
   bool Remove(CallId aExchange);
   /** Lets all callers go and returns them. */
-  std::vector<CallId> TakeCallers();
-  bool Empty() const { return mPlaces.empty(); }
+  std::vector<CallId> RemoveCallers();
+  bool Empty() const { return mPositions.empty(); }
 
   /**
-   * Appends what each listener lacks of the answer. When the outcome is
+   * Appends what each subscriber lacks of the answer. When the outcome is
    * known it follows the text, and the listeners are let go.
    */
   void Publish(const RequestKey& aKey,
@@ -46,10 +47,10 @@
                Effects& aEffects);
 
   /** Tells all callers to attach elsewhere, and lets them go. */
-  void MoveCallersAway(Effects& aEffects);
+  void RedirectCallers(Effects& aEffects);
 
 private:
-  std::map<Listener, ListenerPlace> mPlaces;
+  std::map<AnswerSubscriber, SubscriberPosition> mPositions;
 };
 
 } // namespace peridotspool::request
--- a/src/request/EntryCallers.cpp
+++ b/src/request/EntryCallers.cpp
@@ -6,12 +6,12 @@
 
 template<typename Asked>
 void
-EntryNodeState::PassOn(const Asked& aEvent)
+EntryNodeState::ForwardOrReject(const Asked& aEvent)
 {
   if (mRequests) {
     StepRequests(aEvent);
   } else {
-    ReplyTo(aEvent.mExchange, NoAnswerReply{});
+    ReplyTo(aEvent.mExchange, StatusUnknownReply{});
   }
 }
 
@@ -36,7 +36,7 @@
   // An entry cut off from the control replicas may work by old settings; the
   // caller is sent to another one at once.
   mEffects->emplace_back(CountEffect{ Tally::kRefusedNotConfirmed });
-  ReplyTo(aEvent.mExchange, NoAnswerReply{});
+  ReplyTo(aEvent.mExchange, StatusUnknownReply{});
 }
 
 void
@@ -47,26 +47,26 @@
   } else if (mLeaving) {
     ReplyTo(aEvent.mExchange, MovedReply{});
   } else {
-    ReplyTo(aEvent.mExchange, NoAnswerReply{});
+    ReplyTo(aEvent.mExchange, StatusUnknownReply{});
   }
 }
 
 void
 EntryNodeState::OnCaller(const CancelEvent& aEvent)
 {
-  PassOn(aEvent);
+  ForwardOrReject(aEvent);
 }
 
 void
 EntryNodeState::OnCaller(const AcknowledgeEvent& aEvent)
 {
-  PassOn(aEvent);
+  ForwardOrReject(aEvent);
 }
 
 void
 EntryNodeState::OnCaller(const ShowEvent& aEvent)
 {
-  PassOn(aEvent);
+  ForwardOrReject(aEvent);
 }
 
 void
--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -14,7 +14,7 @@
   , mDirectory(mOptions.mDirectory)
   , mNow(aNow)
 {
-  BeginLife();
+  StartIncarnation();
 }
 
 EntryNodeEffects
@@ -29,7 +29,7 @@
 }
 
 void
-EntryNodeState::BeginLife()
+EntryNodeState::StartIncarnation()
 {
   // Each life has a nonce of its own, so that messages to an earlier one, and
   // the ledger copies that it lost, are never taken for this one's.
@@ -41,7 +41,7 @@
   mLedger.reset();
   mRequests.reset();
   mDrainStarted = false;
-  mToldDone = false;
+  mDepartureReported = false;
 }
 
 void
@@ -86,12 +86,12 @@
 EntryNodeState::On(const AnnouncedEvent& aEvent)
 {
   if (mRouter.Announce(aEvent.mAnnouncement, mNow)) {
-    SpreadAnnouncement(aEvent.mAnnouncement);
+    ForwardAnnouncement(aEvent.mAnnouncement);
   }
 }
 
 void
-EntryNodeState::On(const SettingsTakenEvent& aEvent)
+EntryNodeState::On(const SettingsAppliedEvent& aEvent)
 {
   mTree = aEvent.mTree;
   StepRequests(SettingsEvent{ mTree });
@@ -130,26 +130,26 @@
   StepSession(membership::SessionTickEvent{});
   StepLedger(ledger::TickEvent{});
   StepRequests(aEvent);
-  CheckLeft();
+  CheckDeparture();
 }
 
 void
 EntryNodeState::StepSession(const membership::ControlSessionEvent& aEvent)
 {
   for (const auto& effect : mSession->Step(aEvent, mNow)) {
-    std::visit([this](const auto& aAny) { Carry(aAny); }, effect);
+    std::visit([this](const auto& aAny) { Perform(aAny); }, effect);
   }
 }
 
 void
-EntryNodeState::Carry(const membership::ToControlEffect& aEffect)
+EntryNodeState::Perform(const membership::ToControlEffect& aEffect)
 {
   mEffects->emplace_back(
     ToControlReplicaEffect{ aEffect.mTo, aEffect.mEnvelope });
 }
 
 void
-EntryNodeState::Carry(const membership::JoinedEffect& aEffect)
+EntryNodeState::Perform(const membership::JoinedEffect& aEffect)
 {
   mSelf = aEffect.mMember;
   mLedger.emplace(mSelf, mOptions.mLedger);
@@ -160,39 +160,39 @@
   // that never heard of the list answers no query of its peers: each shard that
   // this entry is in would stand still until the next epoch, unless it is told.
   if (mSession->Epoch().mEpoch.IsSet()) {
-    HandOn(mSession->Epoch());
+    DistributeMembers(mSession->Epoch());
   }
 }
 
 void
-EntryNodeState::Carry(const membership::RemovedEffect& /*aEffect*/)
+EntryNodeState::Perform(const membership::RemovedEffect& /*aEffect*/)
 {
   // Others have taken over what this life held. Its callers are told to attach
   // elsewhere; nothing of the old life may go on beside its successor.
   StepRequests(AbandonEvent{});
   mEffects->emplace_back(LostMembershipEffect{});
   if (mLeaving) {
-    mLeft = true;
+    mDepartureComplete = true;
     mEffects->emplace_back(LeftEffect{});
   }
-  BeginLife();
+  StartIncarnation();
 }
 
 void
-EntryNodeState::Carry(const membership::DrainEffect& /*aEffect*/)
+EntryNodeState::Perform(const membership::DrainEffect& /*aEffect*/)
 {
   BeginLeaving();
 }
 
 void
-EntryNodeState::Carry(const membership::NewSettingsEffect& aEffect)
+EntryNodeState::Perform(const membership::NewSettingsEffect& aEffect)
 {
   mEffects->emplace_back(
-    TakeSettingsEffect{ aEffect.mRevision, aEffect.mText });
+    ApplySettingsEffect{ aEffect.mRevision, aEffect.mText });
 }
 
 void
-EntryNodeState::Carry(const membership::NewEpochEffect& aEffect)
+EntryNodeState::Perform(const membership::NewEpochEffect& aEffect)
 {
   const membership::EpochMap& map = aEffect.mMap;
   mMembers.clear();
@@ -200,8 +200,8 @@
     mMembers.emplace(member.mId, member);
   }
   mDirectory.TakeEpoch(map);
-  mEffects->emplace_back(EpochTakenEffect{ map.mEpoch, map.mMembers.size() });
-  HandOn(map);
+  mEffects->emplace_back(EpochAdoptedEffect{ map.mEpoch, map.mMembers.size() });
+  DistributeMembers(map);
   const auto self = mMembers.find(mSelf);
   const bool draining =
     self != mMembers.end() &&
@@ -214,7 +214,7 @@
 }
 
 void
-EntryNodeState::HandOn(const membership::EpochMap& aMap)
+EntryNodeState::DistributeMembers(const membership::EpochMap& aMap)
 {
   StepLedger(ledger::EpochChangedEvent{ aMap });
   StepRequests(MembersEvent{ aMap });
@@ -227,24 +227,24 @@
     return;
   }
   for (const auto& effect : mLedger->Step(aEvent, mNow)) {
-    std::visit([this](const auto& aAny) { Carry(aAny); }, effect);
+    std::visit([this](const auto& aAny) { Perform(aAny); }, effect);
   }
 }
 
 void
-EntryNodeState::Carry(const ledger::SendEffect& aEffect)
+EntryNodeState::Perform(const ledger::SendEffect& aEffect)
 {
   SendToMember(aEffect.mTo, aEffect.mMessage);
 }
 
 void
-EntryNodeState::Carry(const ledger::AnsweredEffect& aEffect)
+EntryNodeState::Perform(const ledger::AnsweredEffect& aEffect)
 {
   StepRequests(LedgerAnsweredEvent{ aEffect.mCall, aEffect.mAnswer });
 }
 
 void
-EntryNodeState::Carry(const ledger::OrphanedEffect& aEffect)
+EntryNodeState::Perform(const ledger::OrphanedEffect& aEffect)
 {
   StepRequests(OrphanedEvent{ aEffect.mRecord, aEffect.mRemaining });
 }
@@ -256,26 +256,26 @@
     return;
   }
   for (const auto& effect : mRequests->Step(aEvent, mNow)) {
-    std::visit([this](const auto& aAny) { Carry(aAny); }, effect);
+    std::visit([this](const auto& aAny) { Perform(aAny); }, effect);
   }
 }
 
 void
-EntryNodeState::Carry(const ProposeEffect& aEffect)
+EntryNodeState::Perform(const ProposeEffect& aEffect)
 {
   StepLedger(
     ledger::ProposeEvent{ aEffect.mCall, aEffect.mKey, aEffect.mOperation });
 }
 
 void
-EntryNodeState::Carry(const RelayEffect& aEffect)
+EntryNodeState::Perform(const RelayEffect& aEffect)
 {
   SendToMember(aEffect.mTo, aEffect.mMessage);
 }
 
 template<typename Other>
 void
-EntryNodeState::Carry(const Other& aEffect)
+EntryNodeState::Perform(const Other& aEffect)
 {
   mEffects->emplace_back(aEffect);
 }
@@ -287,16 +287,16 @@
     return;
   }
   mLeaving = true;
-  mLeaveBy = mNow + mOptions.mLeaveLimit;
+  mLeaveDeadline = mNow + mOptions.mMaxLeaveTime;
   if (mSelf.IsSet()) {
     mDirectory.TakeLeaving(mSelf);
   }
 }
 
 void
-EntryNodeState::CheckLeft()
+EntryNodeState::CheckDeparture()
 {
-  if (!mLeaving || mLeft) {
+  if (!mLeaving || mDepartureComplete) {
     return;
   }
   // When every entry leaves, as in a planned stop of the whole system, nobody
@@ -304,13 +304,13 @@
   const bool handedOver =
     mDrainStarted && mRequests->Running() == 0 && mRequests->Callers() == 0 &&
     (mLedger->Counters().mHeldShards == 0 || !AnyActiveMember());
-  if (handedOver && !mToldDone) {
-    mToldDone = true;
+  if (handedOver && !mDepartureReported) {
+    mDepartureReported = true;
     StepSession(membership::LeftNothingEvent{});
   }
   const bool neverJoined = !mSelf.IsSet();
-  if (!mLeft && (neverJoined || mNow >= mLeaveBy)) {
-    mLeft = true;
+  if (!mDepartureComplete && (neverJoined || mNow >= mLeaveDeadline)) {
+    mDepartureComplete = true;
     mEffects->emplace_back(LeftEffect{});
   }
 }
@@ -324,7 +324,7 @@
 }
 
 void
-EntryNodeState::SpreadAnnouncement(
+EntryNodeState::ForwardAnnouncement(
   const routing::UpstreamAnnouncement& aAnnouncement)
 {
   std::vector<MemberId> members;
--- a/src/request/EntryNodeState.h
+++ b/src/request/EntryNodeState.h
@@ -29,7 +29,7 @@
   void On(const CallerEvent& aEvent);
   void On(const UpstreamEvent& aEvent);
   void On(const AnnouncedEvent& aEvent);
-  void On(const SettingsTakenEvent& aEvent);
+  void On(const SettingsAppliedEvent& aEvent);
   void On(const UnreachableEvent& aEvent);
   void On(const LeaveNodeEvent& aEvent);
   void On(const TickEvent& aEvent);
@@ -43,34 +43,34 @@
 
   /** Passes an event on, or answers it while this entry is no member. */
   template<typename Asked>
-  void PassOn(const Asked& aEvent);
+  void ForwardOrReject(const Asked& aEvent);
 
   void StepSession(const membership::ControlSessionEvent& aEvent);
-  void Carry(const membership::ToControlEffect& aEffect);
-  void Carry(const membership::JoinedEffect& aEffect);
-  void Carry(const membership::RemovedEffect& aEffect);
-  void Carry(const membership::DrainEffect& aEffect);
-  void Carry(const membership::NewSettingsEffect& aEffect);
-  void Carry(const membership::NewEpochEffect& aEffect);
+  void Perform(const membership::ToControlEffect& aEffect);
+  void Perform(const membership::JoinedEffect& aEffect);
+  void Perform(const membership::RemovedEffect& aEffect);
+  void Perform(const membership::DrainEffect& aEffect);
+  void Perform(const membership::NewSettingsEffect& aEffect);
+  void Perform(const membership::NewEpochEffect& aEffect);
 
   /** Tells the parts that hold requests who the members are. */
-  void HandOn(const membership::EpochMap& aMap);
+  void DistributeMembers(const membership::EpochMap& aMap);
   void StepLedger(const ledger::Event& aEvent);
-  void Carry(const ledger::SendEffect& aEffect);
-  void Carry(const ledger::AnsweredEffect& aEffect);
-  void Carry(const ledger::OrphanedEffect& aEffect);
+  void Perform(const ledger::SendEffect& aEffect);
+  void Perform(const ledger::AnsweredEffect& aEffect);
+  void Perform(const ledger::OrphanedEffect& aEffect);
 
   void StepRequests(const Event& aEvent);
-  void Carry(const ProposeEffect& aEffect);
-  void Carry(const RelayEffect& aEffect);
+  void Perform(const ProposeEffect& aEffect);
+  void Perform(const RelayEffect& aEffect);
   template<typename Other>
-  void Carry(const Other& aEffect);
+  void Perform(const Other& aEffect);
 
-  void BeginLife();
+  void StartIncarnation();
   void BeginLeaving();
-  void CheckLeft();
+  void CheckDeparture();
   bool AnyActiveMember() const;
-  void SpreadAnnouncement(const routing::UpstreamAnnouncement& aAnnouncement);
+  void ForwardAnnouncement(const routing::UpstreamAnnouncement& aAnnouncement);
   void SendToMember(MemberId aTo, FromMemberMessage aMessage);
   void ReplyTo(CallId aExchange, Reply aReply);
   /** Returns true iff this entry may begin new work now. */
@@ -89,9 +89,9 @@
   std::map<MemberId, membership::Member> mMembers;
   bool mLeaving = false;
   bool mDrainStarted = false;
-  bool mToldDone = false;
-  bool mLeft = false;
-  TimePoint mLeaveBy = TimePoint::max();
+  bool mDepartureReported = false;
+  bool mDepartureComplete = false;
+  TimePoint mLeaveDeadline = TimePoint::max();
 
   // Valid during one step only.
   TimePoint mNow;
--- a/src/request/Execution.cpp
+++ b/src/request/Execution.cpp
@@ -1,6 +1,6 @@
 #include "request/Execution.h"
 
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 #include "request/PromptBlocks.h"
 
 #include <algorithm>
@@ -11,17 +11,17 @@
 namespace {
 
 /** Attempts of one executor turn; a later turn's numbers never meet them. */
-constexpr std::uint64_t kAttemptsOfTurn = 1000;
+constexpr std::uint64_t kMaxAttemptsPerTurn = 1000;
 /** A queued request looks for an upstream again after this long. */
-constexpr Duration kQueuePoll = std::chrono::milliseconds(25);
+constexpr Duration kQueuePollInterval = std::chrono::milliseconds(25);
 
 constexpr std::int32_t kStatusUnavailable = 503;
 
 AttemptNumber
-AttemptOf(AttemptNumber aTurn, std::uint32_t aTry)
+MakeAttemptNumber(AttemptNumber aTurn, std::uint32_t aTry)
 {
   const std::uint64_t turn = aTurn.IsSet() ? aTurn.Value() - 1 : 0;
-  return AttemptNumber(turn * kAttemptsOfTurn + aTry);
+  return AttemptNumber(turn * kMaxAttemptsPerTurn + aTry);
 }
 
 Tally
@@ -61,7 +61,7 @@
 Execution::Execution(const ledger::RequestRecord& aRecord, TimePoint aDeadline)
   : mRecord(aRecord)
   , mDeadline(aDeadline)
-  , mLife(std::make_unique<Life>())
+  , mStateMachine(std::make_unique<ExecutionStateMachine>())
 {
   mAnswer.mExecutor = aRecord.mExecutor;
 }
@@ -71,27 +71,27 @@
 bool
 Execution::Ended() const
 {
-  return mLife->State() == LifeState::kEnded;
+  return mStateMachine->State() == ExecutionState::kEnded;
 }
 
 bool
-Execution::CanMove() const
+Execution::CanHandOver() const
 {
-  const LifeState state = mLife->State();
+  const ExecutionState state = mStateMachine->State();
   const bool sent =
-    state == LifeState::kDispatched || state == LifeState::kStreaming;
+    state == ExecutionState::kDispatched || state == ExecutionState::kStreaming;
   return sent && mAttempt && mAttempt->mFromIndex == 0 &&
          mAttempt->mKind == routing::UpstreamKind::kModelEngine;
 }
 
 void
-Execution::Start(StepContext& aContext, ExecutionStart aWhy)
+Execution::Start(StepContext& aContext, ExecutionOrigin aWhy)
 {
   mAdmitted = true;
   mQueuedSince = aContext.mNow;
   mNotBefore = aContext.mNow;
   mPromptBlocks = PromptBlocks(mRecord.mTerms.mBody);
-  mAfterTakeover = aWhy == ExecutionStart::kTakenOver;
+  mAfterTakeover = aWhy == ExecutionOrigin::kTakenOver;
   if (mAfterTakeover && TryResumeAtStart(aContext)) {
     return;
   }
@@ -130,14 +130,14 @@
                         .mIncarnation = intent.mIncarnation,
                         .mAddress = upstream->mAddress,
                         .mKind = upstream->mKind };
-    mLife->Take(LifeEvent::kDispatch);
+    mStateMachine->Apply(ExecutionEvent::kDispatch);
     Resume(aContext);
     return true;
   }
   if (!mRecord.mTerms.mIdempotent) {
     // The earlier executor may have sent it and the upstream that would know
     // can't be asked: sending it again could run it twice.
-    GiveUp(aContext, MakeLoss("executor-lost"));
+    GiveUp(aContext, MakeLostOutcome("executor-lost"));
     return true;
   }
   return false;
@@ -187,7 +187,7 @@
                              .mPrefixBlocks = mPromptBlocks,
                              .mAvoid = mAvoid };
   const auto* rules =
-    aContext.mDesk.Rules(mRecord.mKey.mCustomer, mRecord.mTerms.mService);
+    aContext.mAdmission.Rules(mRecord.mKey.mCustomer, mRecord.mTerms.mService);
   if (rules != nullptr) {
     query.mFirstTokenTarget = rules->mFirstTokenTarget;
     aContext.mRouter.SetWeights(rules->mLatencyWeight, rules->mCostWeight);
@@ -201,10 +201,10 @@
   // Upstreams that failed this request once are better than none at all.
   mAvoid.clear();
   const TimePoint giveUpAt = mQueuedSince + aContext.mOptions.mMaxQueueWait;
-  const bool hopeless = aWhy == routing::NoRoute::kDeadlineTooNear ||
-                        aWhy == routing::NoRoute::kQueueFull;
-  if (!hopeless && aContext.mNow < giveUpAt) {
-    WakeAt(std::min(aContext.mNow + kQueuePoll, giveUpAt));
+  const bool cannotSucceed = aWhy == routing::NoRoute::kDeadlineTooNear ||
+                             aWhy == routing::NoRoute::kQueueFull;
+  if (!cannotSucceed && aContext.mNow < giveUpAt) {
+    WakeAt(std::min(aContext.mNow + kQueuePollInterval, giveUpAt));
     return;
   }
   aContext.Count(TallyOf(aWhy));
@@ -216,22 +216,24 @@
                         const routing::RouteChoice& aChoice)
 {
   if (mAttempts == 0) {
-    aContext.mDesk.CountFirstTry(mRecord.mTerms.mService);
+    aContext.mAdmission.CountFirstTry(mRecord.mTerms.mService);
   }
   ++mAttempts;
-  mAttempt = Attempt{ .mNumber = AttemptOf(mRecord.mExecutorTurn, mAttempts),
-                      .mUpstream = aChoice.mUpstream,
-                      .mIncarnation = aChoice.mIncarnation,
-                      .mAddress = aChoice.mAddress,
-                      .mKind = aChoice.mKind,
-                      .mFromIndex = mNextIndex };
+  mAttempt =
+    Attempt{ .mNumber = MakeAttemptNumber(mRecord.mExecutorTurn, mAttempts),
+             .mUpstream = aChoice.mUpstream,
+             .mIncarnation = aChoice.mIncarnation,
+             .mAddress = aChoice.mAddress,
+             .mKind = aChoice.mKind,
+             .mFromIndex = mNextIndex };
   aContext.mEffects.emplace_back(
     ExplainEffect{ mRecord.mKey, mAttempt->mNumber, aChoice });
   // A request that may run again is sent while its intent is being committed:
   // losing the intent costs a recomputation, waiting for it costs every first
   // token a round trip. One that may not is sent only after the commit.
   const bool once = !mRecord.mTerms.mIdempotent;
-  mLife->Take(once ? LifeEvent::kIntend : LifeEvent::kDispatch);
+  mStateMachine->Apply(once ? ExecutionEvent::kIntend
+                            : ExecutionEvent::kDispatch);
   Propose(aContext,
           ledger::IntendOperation{
             .mExecutorTurn = mRecord.mExecutorTurn,
@@ -272,13 +274,13 @@
     return;
   }
   mWake = TimePoint::max();
-  const LifeState state = mLife->State();
-  if (state == LifeState::kQueued) {
+  const ExecutionState state = mStateMachine->State();
+  if (state == ExecutionState::kQueued) {
     TryDispatch(aContext);
     return;
   }
   const bool sent =
-    state == LifeState::kDispatched || state == LifeState::kStreaming;
+    state == ExecutionState::kDispatched || state == ExecutionState::kStreaming;
   if (sent && aContext.mNow >= mDeadline) {
     GiveUpOnDeadline(aContext);
   }
--- a/src/request/Execution.h
+++ b/src/request/Execution.h
@@ -3,7 +3,7 @@
 #include "peridotspool/ledger/Operation.h"
 #include "peridotspool/request/Event.h"
 #include "request/Answer.h"
-#include "request/LifeState.h"
+#include "request/ExecutionState.h"
 #include "request/StepContext.h"
 
 #include <memory>
@@ -12,10 +12,10 @@
 
 namespace peridotspool::request {
 
-class Life;
+class ExecutionStateMachine;
 
 /** Why this entry became the executor. */
-enum class ExecutionStart
+enum class ExecutionOrigin
 {
   kAccepted,
   kTakenOver,
@@ -33,7 +33,7 @@
   ~Execution();
 
   /** Begins, after an accept that was admitted, or a takeover, is committed. */
-  void Start(StepContext& aContext, ExecutionStart aWhy);
+  void Start(StepContext& aContext, ExecutionOrigin aWhy);
   /** Waits for its turn; Start follows, or the deadline. */
   void Wait(StepContext& aContext);
   /** Ends it before anything was sent. */
@@ -57,7 +57,7 @@
   TimePoint NextWake() const { return mWake; }
   bool Ended() const;
   /** Returns true iff another entry could go on with the upstream's stream. */
-  bool CanMove() const;
+  bool CanHandOver() const;
   /** Returns true iff the ended execution lost its turn. */
   bool LostTurn() const { return mLostTurn; }
   /** The upstream call under way; unset if there is none. */
@@ -88,34 +88,36 @@
   void OnDone(StepContext& aContext, const UpstreamDone& aDone);
   void OnRefused(StepContext& aContext, const UpstreamRefused& aRefused);
   void OnBroken(StepContext& aContext, const UpstreamBroken& aBroken);
-  bool Belongs(const std::string& aRequest, AttemptNumber aAttempt) const;
+  bool MatchesAttempt(const std::string& aRequest,
+                      AttemptNumber aAttempt) const;
 
   routing::RouteQuery MakeQuery(const StepContext& aContext) const;
   void RetryLater(StepContext& aContext, Tally aWhy);
-  void GiveUpRetrying(StepContext& aContext, routing::NoRetry aWhy);
-  void RetryAfterNoRun(StepContext& aContext, Tally aWhy);
+  void RefuseRetry(StepContext& aContext, routing::NoRetry aWhy);
+  void RetryNotRun(StepContext& aContext, Tally aWhy);
   void RetryOrGiveUp(StepContext& aContext, Tally aWhy);
   void GiveUp(StepContext& aContext, ledger::Outcome aOutcome);
   void GiveUpOnDeadline(StepContext& aContext);
   ledger::Outcome MakeRefusal(const StepContext& aContext,
                               std::int32_t aStatus,
                               std::string aReason) const;
-  ledger::Outcome MakeLoss(std::string aReason) const;
+  ledger::Outcome MakeLostOutcome(std::string aReason) const;
   void ProposeFinish(StepContext& aContext);
   void Conclude(StepContext& aContext, const ledger::Outcome& aOutcome);
 
   void OnIntentAnswer(StepContext& aContext,
                       const ledger::OperationAnswer& aAnswer);
-  void TakeIntent(const ledger::OperationAnswer& aAnswer);
+  void RecordIntent(const ledger::OperationAnswer& aAnswer);
   void OnVoidAnswer(StepContext& aContext,
                     const ledger::OperationAnswer& aAnswer);
   void OnFinishAnswer(StepContext& aContext,
                       const ledger::OperationAnswer& aAnswer);
   /** Handles verdicts that end this execution; false if it goes on. */
-  bool EndsHere(StepContext& aContext, const ledger::OperationAnswer& aAnswer);
+  bool HandleFinalVerdict(StepContext& aContext,
+                          const ledger::OperationAnswer& aAnswer);
 
   void Propose(StepContext& aContext, ledger::Operation aOperation);
-  void StopUpstream(StepContext& aContext, bool aTellUpstream);
+  void StopUpstream(StepContext& aContext, bool aCancelAttempt);
   void WakeAt(TimePoint aTime);
   std::string UpstreamRequestName() const;
   /** Returns true iff some upstream may have begun to run the request. */
@@ -123,7 +125,7 @@
 
   ledger::RequestRecord mRecord;
   TimePoint mDeadline;
-  std::unique_ptr<Life> mLife;
+  std::unique_ptr<ExecutionStateMachine> mStateMachine;
   Answer mAnswer;
   /** Index of the next piece that counts. */
   std::uint64_t mNextIndex = 0;
--- a/src/request/ExecutionEnd.cpp
+++ b/src/request/ExecutionEnd.cpp
@@ -1,7 +1,7 @@
 // How an execution tries again, and how it gives up.
 
 #include "request/Execution.h"
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 } // namespace
 
 void
-Execution::RetryAfterNoRun(StepContext& aContext, Tally aWhy)
+Execution::RetryNotRun(StepContext& aContext, Tally aWhy)
 {
   mMayHaveRun = mMayHaveRunBefore;
   if (mRecord.mTerms.mIdempotent) {
@@ -25,7 +25,7 @@
     return;
   }
   // Its committed intent still forbids a second one on every replica.
-  mLife->Take(LifeEvent::kMustVoid);
+  mStateMachine->Apply(ExecutionEvent::kMustVoid);
   aContext.Count(aWhy);
   Propose(aContext,
           ledger::VoidIntentOperation{ .mExecutorTurn = mRecord.mExecutorTurn,
@@ -39,13 +39,13 @@
     RetryLater(aContext, aWhy);
     return;
   }
-  GiveUp(aContext, MakeLoss("upstream-lost"));
+  GiveUp(aContext, MakeLostOutcome("upstream-lost"));
 }
 
 void
 Execution::RetryLater(StepContext& aContext, Tally aWhy)
 {
-  const auto decision = aContext.mDesk.DecideRetry(
+  const auto decision = aContext.mAdmission.DecideRetry(
     mRecord.mKey.mCustomer,
     mRecord.mTerms.mService,
     routing::FailedTry{ .mTries = mAttempts,
@@ -53,10 +53,10 @@
                         .mRandom = aContext.mRandom() },
     aContext.mNow);
   if (const auto* never = std::get_if<routing::NoRetry>(&decision)) {
-    GiveUpRetrying(aContext, *never);
+    RefuseRetry(aContext, *never);
     return;
   }
-  if (!mLife->Take(LifeEvent::kRetry)) {
+  if (!mStateMachine->Apply(ExecutionEvent::kRetry)) {
     return;
   }
   aContext.Count(aWhy);
@@ -67,7 +67,7 @@
 }
 
 void
-Execution::GiveUpRetrying(StepContext& aContext, routing::NoRetry aWhy)
+Execution::RefuseRetry(StepContext& aContext, routing::NoRetry aWhy)
 {
   switch (aWhy) {
     case routing::NoRetry::kAttemptsSpent:
@@ -102,7 +102,7 @@
 }
 
 ledger::Outcome
-Execution::MakeLoss(std::string aReason) const
+Execution::MakeLostOutcome(std::string aReason) const
 {
   const bool once = !mRecord.mTerms.mIdempotent;
   ledger::Outcome outcome{ .mKind = once ? ledger::OutcomeKind::kUnknown
@@ -119,7 +119,7 @@
 void
 Execution::GiveUpOnDeadline(StepContext& aContext)
 {
-  if (mLife->State() == LifeState::kIntending) {
+  if (mStateMachine->State() == ExecutionState::kIntending) {
     // The intent may be committed already; its answer decides.
     return;
   }
@@ -128,7 +128,7 @@
     GiveUp(aContext, MakeRefusal(aContext, kStatusGatewayTimeout, "deadline"));
     return;
   }
-  ledger::Outcome outcome = MakeLoss("deadline");
+  ledger::Outcome outcome = MakeLostOutcome("deadline");
   outcome.mStatus = kStatusGatewayTimeout;
   GiveUp(aContext, std::move(outcome));
 }
@@ -136,7 +136,7 @@
 void
 Execution::GiveUp(StepContext& aContext, ledger::Outcome aOutcome)
 {
-  if (!mLife->Take(LifeEvent::kGiveUp)) {
+  if (!mStateMachine->Apply(ExecutionEvent::kGiveUp)) {
     return;
   }
   StopUpstream(aContext, true);
@@ -145,14 +145,14 @@
 }
 
 void
-Execution::StopUpstream(StepContext& aContext, bool aTellUpstream)
+Execution::StopUpstream(StepContext& aContext, bool aCancelAttempt)
 {
   if (!mUpstreamCall.IsSet()) {
     return;
   }
   aContext.mEffects.emplace_back(DropUpstreamEffect{ mUpstreamCall });
   mUpstreamCall = CallId();
-  if (aTellUpstream) {
+  if (aCancelAttempt) {
     aContext.mRouter.Ended(
       mAttempt->mUpstream, routing::AttemptEnd::kCancelled, aContext.mNow);
     aContext.mEffects.emplace_back(CancelUpstreamEffect{ mAttempt->mAddress,
--- a/src/request/ExecutionLedger.cpp
+++ b/src/request/ExecutionLedger.cpp
@@ -2,7 +2,7 @@
 
 #include "peridotspool/base/Invariant.h"
 #include "request/Execution.h"
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 
 #include <utility>
 
@@ -30,17 +30,17 @@
                           CallId aCall,
                           const ledger::OperationAnswer& aAnswer)
 {
-  if (aCall != mProposal || EndsHere(aContext, aAnswer)) {
+  if (aCall != mProposal || HandleFinalVerdict(aContext, aAnswer)) {
     return;
   }
-  switch (mLife->State()) {
-    case LifeState::kIntending:
+  switch (mStateMachine->State()) {
+    case ExecutionState::kIntending:
       OnIntentAnswer(aContext, aAnswer);
       break;
-    case LifeState::kVoiding:
+    case ExecutionState::kVoiding:
       OnVoidAnswer(aContext, aAnswer);
       break;
-    case LifeState::kFinishing:
+    case ExecutionState::kFinishing:
       OnFinishAnswer(aContext, aAnswer);
       break;
     default:
@@ -50,8 +50,8 @@
 }
 
 bool
-Execution::EndsHere(StepContext& aContext,
-                    const ledger::OperationAnswer& aAnswer)
+Execution::HandleFinalVerdict(StepContext& aContext,
+                              const ledger::OperationAnswer& aAnswer)
 {
   if (aAnswer.mVerdict == ledger::Verdict::kOldTurn ||
       aAnswer.mVerdict == ledger::Verdict::kNoSuchRequest) {
@@ -71,7 +71,7 @@
                           const ledger::OperationAnswer& aAnswer)
 {
   if (aAnswer.mVerdict == ledger::Verdict::kMayHaveRun) {
-    GiveUp(aContext, MakeLoss("may-have-run"));
+    GiveUp(aContext, MakeLostOutcome("may-have-run"));
     return;
   }
   if (aAnswer.mVerdict != ledger::Verdict::kDone) {
@@ -86,18 +86,18 @@
                            .mFromIndex = mAttempt->mFromIndex } });
     return;
   }
-  TakeIntent(aAnswer);
+  RecordIntent(aAnswer);
   if (aContext.mNow >= mDeadline) {
-    RetryAfterNoRun(aContext, Tally::kRefusedDeadline);
+    RetryNotRun(aContext, Tally::kRefusedDeadline);
     return;
   }
-  mLife->Take(LifeEvent::kDispatch);
+  mStateMachine->Apply(ExecutionEvent::kDispatch);
   Send(aContext,
        GenerateMode{ .mPrefix = mAnswer.mText, .mFromIndex = mNextIndex });
 }
 
 void
-Execution::TakeIntent(const ledger::OperationAnswer& aAnswer)
+Execution::RecordIntent(const ledger::OperationAnswer& aAnswer)
 {
   // The ledger leaves the terms out of its answers to what an executor, which
   // has them, proposes; only the intent is news.
@@ -118,7 +118,7 @@
     return;
   }
   mMayHaveRun = false;
-  TakeIntent(aAnswer);
+  RecordIntent(aAnswer);
   if (aContext.mNow >= mDeadline) {
     GiveUpOnDeadline(aContext);
     return;
@@ -135,13 +135,13 @@
     return;
   }
   if (aAnswer.mVerdict == ledger::Verdict::kMayHaveRun) {
-    mPendingOutcome = MakeLoss("may-have-run");
+    mPendingOutcome = MakeLostOutcome("may-have-run");
   }
   if (aContext.mNow > mDeadline + aContext.mOptions.mFinishGrace) {
     // The ledger can't be reached for good: the callers are told at least
     // that nothing sure is known.
-    mAnswer.mOutcome = MakeLoss("ledger-lost");
-    mLife->Take(LifeEvent::kFinishCommitted);
+    mAnswer.mOutcome = MakeLostOutcome("ledger-lost");
+    mStateMachine->Apply(ExecutionEvent::kFinishCommitted);
     return;
   }
   ProposeFinish(aContext);
@@ -150,8 +150,8 @@
 void
 Execution::Conclude(StepContext& aContext, const ledger::Outcome& aOutcome)
 {
-  mLife->Take(LifeEvent::kFinishCommitted);
-  const Answer kept = AnswerOf(aOutcome, mRecord.mExecutor);
+  mStateMachine->Apply(ExecutionEvent::kFinishCommitted);
+  const Answer kept = MakeAnswer(aOutcome, mRecord.mExecutor);
   if (kept.mLineage.IsSet()) {
     mAnswer = kept;
   } else {
@@ -182,14 +182,14 @@
     return;
   }
   StopUpstream(aContext, true);
-  mLife->Take(LifeEvent::kGiveUp);
+  mStateMachine->Apply(ExecutionEvent::kGiveUp);
   Conclude(aContext, aOutcome);
 }
 
 void
 Execution::OnTurnLost(StepContext& aContext)
 {
-  if (!mLife->Take(LifeEvent::kTurnLost)) {
+  if (!mStateMachine->Apply(ExecutionEvent::kTurnLost)) {
     return;
   }
   mLostTurn = true;
--- a/src/request/LifeState.h
+++ b/src/request/ExecutionState.h
@@ -3,7 +3,7 @@
 namespace peridotspool::request {
 
 /** Where a request stands at its executor. */
-enum class LifeState
+enum class ExecutionState
 {
   /** Waits for an upstream, or for a retry's pause to pass. */
   kQueued,
--- a/src/request/Life.h
+++ b/src/request/ExecutionStateMachine.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "request/LifeState.h"
+#include "request/ExecutionState.h"
 
 #include <memory>
 
 namespace peridotspool::request {
 
-/** What can happen to a request at its executor; see LifeMachine.h. */
-enum class LifeEvent
+/** What can happen to a request at its executor; see ExecutionMachine.h. */
+enum class ExecutionEvent
 {
   kDispatch,
   kIntend,
@@ -21,15 +21,15 @@
 };
 
 /** The state machine of one request's life, apart from its heavy headers. */
-class Life
+class ExecutionStateMachine
 {
 public:
-  Life();
-  ~Life();
+  ExecutionStateMachine();
+  ~ExecutionStateMachine();
 
-  LifeState State() const;
+  ExecutionState State() const;
   /** Returns true iff the event is legal now; the state has then changed. */
-  bool Take(LifeEvent aEvent);
+  bool Apply(ExecutionEvent aEvent);
 
 private:
   class Machine;
--- a/src/request/ExecutionUpstream.cpp
+++ b/src/request/ExecutionUpstream.cpp
@@ -2,7 +2,7 @@
 
 #include "peridotspool/base/Overloaded.h"
 #include "request/Execution.h"
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 
 #include <utility>
 
@@ -20,10 +20,10 @@
 void
 Execution::OnUpstream(StepContext& aContext, const UpstreamEvent& aEvent)
 {
-  const LifeState state = mLife->State();
+  const ExecutionState state = mStateMachine->State();
   const bool expected =
-    aEvent.mCall == mUpstreamCall &&
-    (state == LifeState::kDispatched || state == LifeState::kStreaming);
+    aEvent.mCall == mUpstreamCall && (state == ExecutionState::kDispatched ||
+                                      state == ExecutionState::kStreaming);
   if (!expected) {
     aContext.Count(Tally::kLatePieceDropped);
     return;
@@ -38,7 +38,8 @@
 }
 
 bool
-Execution::Belongs(const std::string& aRequest, AttemptNumber aAttempt) const
+Execution::MatchesAttempt(const std::string& aRequest,
+                          AttemptNumber aAttempt) const
 {
   return aRequest == UpstreamRequestName() && aAttempt == mAttempt->mNumber;
 }
@@ -46,7 +47,7 @@
 void
 Execution::OnPiece(StepContext& aContext, const UpstreamPiece& aPiece)
 {
-  if (!Belongs(aPiece.mRequest, aPiece.mAttempt)) {
+  if (!MatchesAttempt(aPiece.mRequest, aPiece.mAttempt)) {
     // Answers crossed inside the upstream. The piece is somebody else's and
     // this caller must never see it; the caller's own pieces go on.
     aContext.Count(Tally::kCrossedPieceDropped);
@@ -66,7 +67,7 @@
   if (!mAnswer.mLineage.IsSet()) {
     mAnswer.mLineage = mAttempt->mNumber;
   }
-  mLife->Take(LifeEvent::kPiece);
+  mStateMachine->Apply(ExecutionEvent::kPiece);
   ++mNextIndex;
   mAttempt->mResumes = 0;
   mAnswer.mText += aPiece.mText;
@@ -75,7 +76,7 @@
 void
 Execution::OnDone(StepContext& aContext, const UpstreamDone& aDone)
 {
-  if (!Belongs(aDone.mRequest, aDone.mAttempt)) {
+  if (!MatchesAttempt(aDone.mRequest, aDone.mAttempt)) {
     aContext.Count(Tally::kCrossedPieceDropped);
     StopUpstream(aContext, false);
     OnBroken(aContext, UpstreamBroken{ .mReason = "crossed answer" });
@@ -103,7 +104,7 @@
     mAnswer.mLineage = mAttempt->mNumber;
     mAnswer.mText = aDone.mResult;
   }
-  mLife->Take(LifeEvent::kComplete);
+  mStateMachine->Apply(ExecutionEvent::kComplete);
   mPendingOutcome = ledger::Outcome{ .mKind = ledger::OutcomeKind::kAnswered,
                                      .mStatus = kStatusOk,
                                      .mBody = mAnswer.mText,
@@ -126,7 +127,7 @@
   if (aRefused.mDidNotRun) {
     mNotBefore = aContext.mNow + aRefused.mRetryAfter;
     mAvoid.push_back(mAttempt->mUpstream);
-    RetryAfterNoRun(aContext, Tally::kRetryUpstreamRefused);
+    RetryNotRun(aContext, Tally::kRetryUpstreamRefused);
     return;
   }
   if (aRefused.mStatus >= kFirstServerError) {
@@ -161,7 +162,7 @@
   mAvoid.push_back(mAttempt->mUpstream);
   mAfterLoss = true;
   if (!aBroken.mMayHaveRun && mAttempt->mResumes == 0) {
-    RetryAfterNoRun(aContext, why);
+    RetryNotRun(aContext, why);
   } else {
     RetryOrGiveUp(aContext, why);
   }
--- a/src/request/LedgerAnswers.cpp
+++ b/src/request/LedgerAnswers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::int32_t kStatusUnavailable = 503;
-constexpr std::int32_t kStatusConflict = 422;
+constexpr std::int32_t kStatusUnprocessable = 422;
 
 } // namespace
 
@@ -33,23 +33,23 @@
     case ledger::Verdict::kOtherTerms:
       mEffects->emplace_back(CountEffect{ Tally::kRefusedOtherTerms });
       RefuseExchange(
-        aPending.mExchange, kStatusConflict, "key-used-with-other-terms");
+        aPending.mExchange, kStatusUnprocessable, "key-used-with-other-terms");
       return;
     default:
-      ReplyTo(aPending.mExchange, NoAnswerReply{});
+      ReplyTo(aPending.mExchange, StatusUnknownReply{});
       return;
   }
   ReplyTo(aPending.mExchange, AcceptedReply{ aKey });
   LocalRequest& request = mRequests[aKey];
   if (mExchanges.count(aPending.mExchange) > 0) {
-    request.mAudience.Add(aPending.mExchange, {});
+    request.mSubscribers.Add(aPending.mExchange, {});
   }
   if (aAnswer.mVerdict == ledger::Verdict::kDone) {
-    BeginExecution(aKey, aAnswer, ExecutionStart::kAccepted);
+    BeginExecution(aKey, aAnswer, ExecutionOrigin::kAccepted);
   } else if (aAnswer.mRecord) {
     OnRecord(aKey, *aAnswer.mRecord);
   }
-  Settle(aKey);
+  PublishProgress(aKey);
 }
 
 void
@@ -69,13 +69,14 @@
     OnRecord(aKey, *aAnswer.mRecord);
   } else {
     const bool absent = aAnswer.mVerdict == ledger::Verdict::kNoSuchRequest;
-    for (const CallId exchange : request.mAudience.TakeCallers()) {
+    for (const CallId exchange : request.mSubscribers.RemoveCallers()) {
       ReplyTo(exchange,
-              absent ? Reply(NoSuchRequestReply{}) : Reply(NoAnswerReply{}));
+              absent ? Reply(NoSuchRequestReply{})
+                     : Reply(StatusUnknownReply{}));
     }
     request.mFollowing.reset();
   }
-  Settle(aKey);
+  PublishProgress(aKey);
 }
 
 void
@@ -84,7 +85,7 @@
 {
   LocalRequest& request = mRequests[aKey];
   if (aRecord.mOutcome) {
-    request.mMirror = AnswerOf(*aRecord.mOutcome, aRecord.mExecutor);
+    request.mReceivedAnswer = MakeAnswer(*aRecord.mOutcome, aRecord.mExecutor);
     request.mFollowing.reset();
     return;
   }
@@ -140,13 +141,13 @@
         aPending.mFrom,
         TakenOverMessage{ aKey, aAnswer.mRecord->mExecutorTurn } });
     }
-    BeginExecution(aKey, aAnswer, ExecutionStart::kTakenOver);
+    BeginExecution(aKey, aAnswer, ExecutionOrigin::kTakenOver);
   } else if (aAnswer.mRecord) {
     OnRecord(aKey, *aAnswer.mRecord);
   } else if (mRequests.count(aKey) > 0) {
     Resolve(aKey);
   }
-  Settle(aKey);
+  PublishProgress(aKey);
 }
 
 void
@@ -163,7 +164,7 @@
       ReplyTo(aPending.mExchange, NoSuchRequestReply{});
       return;
     default:
-      ReplyTo(aPending.mExchange, NoAnswerReply{});
+      ReplyTo(aPending.mExchange, StatusUnknownReply{});
       return;
   }
   if (!aAnswer.mRecord || !aAnswer.mRecord->mOutcome) {
@@ -189,7 +190,7 @@
   } else if (aAnswer.mVerdict == ledger::Verdict::kNoSuchRequest) {
     ReplyTo(aPending.mExchange, NoSuchRequestReply{});
   } else {
-    ReplyTo(aPending.mExchange, NoAnswerReply{});
+    ReplyTo(aPending.mExchange, StatusUnknownReply{});
   }
 }
 
@@ -206,14 +207,14 @@
 void
 RequestManagerState::BeginExecution(const RequestKey& aKey,
                                     const ledger::OperationAnswer& aAnswer,
-                                    ExecutionStart aWhy)
+                                    ExecutionOrigin aWhy)
 {
   LocalRequest& request = mRequests[aKey];
   request.mFollowing.reset();
-  request.mMirror = Answer{};
+  request.mReceivedAnswer = Answer{};
   request.mExecution =
     std::make_unique<Execution>(*aAnswer.mRecord, mNow + aAnswer.mRemaining);
-  if (aWhy == ExecutionStart::kAccepted) {
+  if (aWhy == ExecutionOrigin::kAccepted) {
     Admit(aKey);
     return;
   }
--- a/src/request/Relay.cpp
+++ b/src/request/Relay.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /** Asks without an answer before the ledger is asked who runs the request. */
-constexpr std::uint32_t kMaxSilentAsks = 2;
+constexpr std::uint32_t kMaxUnansweredQueries = 2;
 /** After a denial the ledger is asked again this much later. */
-constexpr Duration kDenialPause = std::chrono::milliseconds(150);
+constexpr Duration kDenialRetryDelay = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -24,39 +24,42 @@
   const bool same = request.mFollowing &&
                     request.mFollowing->mExecutorTurn == aRecord.mExecutorTurn;
   if (!same) {
-    request.mFollowing = Following{ .mExecutor = aRecord.mExecutor,
-                                    .mExecutorTurn = aRecord.mExecutorTurn };
+    request.mFollowing = FollowState{ .mExecutor = aRecord.mExecutor,
+                                      .mExecutorTurn = aRecord.mExecutorTurn };
     // Another executor may give another text; what it sends decides.
-    request.mMirror = Answer{ .mExecutor = aRecord.mExecutor };
+    request.mReceivedAnswer = Answer{ .mExecutor = aRecord.mExecutor };
   }
-  request.mFollowing->mSilentAsks = 0;
-  AskExecutor(aKey, request);
+  request.mFollowing->mUnansweredQueries = 0;
+  QueryExecutor(aKey, request);
 }
 
 void
-RequestManagerState::AskExecutor(const RequestKey& aKey, LocalRequest& aRequest)
+RequestManagerState::QueryExecutor(const RequestKey& aKey,
+                                   LocalRequest& aRequest)
 {
-  Following& following = *aRequest.mFollowing;
-  mEffects->emplace_back(RelayEffect{
-    following.mExecutor,
-    FollowMessage{
-      aKey, aRequest.mMirror.mLineage, aRequest.mMirror.mText.size() } });
-  following.mAskAgainAt = mNow + mOptions.mFollowAgain;
-  SetWake(aKey, aRequest, following.mAskAgainAt);
+  FollowState& following = *aRequest.mFollowing;
+  mEffects->emplace_back(
+    RelayEffect{ following.mExecutor,
+                 FollowMessage{ aKey,
+                                aRequest.mReceivedAnswer.mLineage,
+                                aRequest.mReceivedAnswer.mText.size() } });
+  following.mNextQueryAt = mNow + mOptions.mFollowRetryInterval;
+  SetWake(aKey, aRequest, following.mNextQueryAt);
 }
 
 void
 RequestManagerState::FollowTick(const RequestKey& aKey, LocalRequest& aRequest)
 {
-  Following& following = *aRequest.mFollowing;
-  if (following.mDenials > 0 || following.mSilentAsks >= kMaxSilentAsks) {
-    following.mSilentAsks = 0;
-    SetWake(aKey, aRequest, mNow + mOptions.mFollowAgain);
+  FollowState& following = *aRequest.mFollowing;
+  if (following.mDenials > 0 ||
+      following.mUnansweredQueries >= kMaxUnansweredQueries) {
+    following.mUnansweredQueries = 0;
+    SetWake(aKey, aRequest, mNow + mOptions.mFollowRetryInterval);
     Resolve(aKey);
     return;
   }
-  ++following.mSilentAsks;
-  AskExecutor(aKey, aRequest);
+  ++following.mUnansweredQueries;
+  QueryExecutor(aKey, aRequest);
 }
 
 void
@@ -65,11 +68,11 @@
   const auto found = mRequests.find(aMessage.mKey);
   if (found == mRequests.end() || !found->second.mExecution) {
     mEffects->emplace_back(
-      RelayEffect{ aFrom, NotHereMessage{ aMessage.mKey } });
+      RelayEffect{ aFrom, NotExecutorMessage{ aMessage.mKey } });
     return;
   }
   LocalRequest& request = found->second;
-  request.mAudience.Add(aFrom, { aMessage.mLineage, aMessage.mOffset });
+  request.mSubscribers.Add(aFrom, { aMessage.mLineage, aMessage.mOffset });
   const Answer& answer = request.mExecution->CurrentAnswer();
   const bool nothingNew = answer.mLineage == aMessage.mLineage &&
                           answer.mText.size() <= aMessage.mOffset;
@@ -79,7 +82,7 @@
       aFrom,
       PieceMessage{ aMessage.mKey, aMessage.mLineage, aMessage.mOffset, "" } });
   }
-  Settle(aMessage.mKey);
+  PublishProgress(aMessage.mKey);
 }
 
 void
@@ -92,11 +95,11 @@
     return;
   }
   LocalRequest& request = found->second;
-  Answer& mirror = request.mMirror;
-  request.mFollowing->mLastHeard = mNow;
-  request.mFollowing->mSilentAsks = 0;
+  Answer& mirror = request.mReceivedAnswer;
+  request.mFollowing->mLastReceivedAt = mNow;
+  request.mFollowing->mUnansweredQueries = 0;
   request.mFollowing->mDenials = 0;
-  SetWake(aMessage.mKey, request, mNow + mOptions.mFollowAgain);
+  SetWake(aMessage.mKey, request, mNow + mOptions.mFollowRetryInterval);
   if (aMessage.mText.empty()) {
     return;
   }
@@ -108,14 +111,14 @@
                     mirror.mText.size() == aMessage.mOffset;
   if (fits) {
     mirror.mText += aMessage.mText;
-    Settle(aMessage.mKey);
+    PublishProgress(aMessage.mKey);
     return;
   }
   const bool repeated = mirror.mLineage == aMessage.mLineage &&
                         aMessage.mOffset < mirror.mText.size();
   if (!repeated) {
     // A piece before this one was lost between the entries.
-    AskExecutor(aMessage.mKey, request);
+    QueryExecutor(aMessage.mKey, request);
   }
 }
 
@@ -134,13 +137,14 @@
                   });
     return;
   }
-  request.mMirror = AnswerOf(aMessage.mOutcome, request.mMirror.mExecutor);
+  request.mReceivedAnswer =
+    MakeAnswer(aMessage.mOutcome, request.mReceivedAnswer.mExecutor);
   request.mFollowing.reset();
-  Settle(aMessage.mKey);
+  PublishProgress(aMessage.mKey);
 }
 
 void
-RequestManagerState::OnRelay(MemberId aFrom, const NotHereMessage& aMessage)
+RequestManagerState::OnRelay(MemberId aFrom, const NotExecutorMessage& aMessage)
 {
   const auto found = mRequests.find(aMessage.mKey);
   if (found == mRequests.end() || !found->second.mFollowing ||
@@ -148,7 +152,7 @@
     return;
   }
   ++found->second.mFollowing->mDenials;
-  SetWake(aMessage.mKey, found->second, mNow + kDenialPause);
+  SetWake(aMessage.mKey, found->second, mNow + kDenialRetryDelay);
 }
 
 void
@@ -173,7 +177,7 @@
 RequestManagerState::HandOver(const RequestKey& aKey, LocalRequest& aRequest)
 {
   const auto target = HandOverTarget(aKey);
-  if (!aRequest.mExecution->CanMove() || !target) {
+  if (!aRequest.mExecution->CanHandOver() || !target) {
     return;
   }
   mEffects->emplace_back(CountEffect{ Tally::kHandedOver });
--- a/src/request/RequestManagerState.cpp
+++ b/src/request/RequestManagerState.cpp
@@ -13,7 +13,7 @@
   : mSelf(aSelf)
   , mOptions(aOptions)
   , mRouter(aRouter)
-  , mDesk(aSelf, aOptions)
+  , mAdmission(aSelf, aOptions)
   , mRandom(aOptions.mRandomSeed ^ aSelf.Value())
 {
 }
@@ -26,12 +26,12 @@
   mEffects = &effects;
   std::visit([this](const auto& aAny) { On(aAny); }, aEvent);
   mEffects = nullptr;
-  ForgetAnswered(effects);
+  RemoveAnsweredExchanges(effects);
   return effects;
 }
 
 void
-RequestManagerState::ForgetAnswered(const Effects& aEffects)
+RequestManagerState::RemoveAnsweredExchanges(const Effects& aEffects)
 {
   for (const Effect& effect : aEffects) {
     const auto* reply = std::get_if<ReplyEffect>(&effect);
@@ -77,11 +77,12 @@
 {
   mExchanges[aEvent.mExchange] = aEvent.mKey;
   LocalRequest& request = mRequests[aEvent.mKey];
-  request.mAudience.Add(aEvent.mExchange, { aEvent.mLineage, aEvent.mOffset });
+  request.mSubscribers.Add(aEvent.mExchange,
+                           { aEvent.mLineage, aEvent.mOffset });
   if (!request.mExecution) {
     Resolve(aEvent.mKey);
   }
-  Settle(aEvent.mKey);
+  PublishProgress(aEvent.mKey);
 }
 
 void
@@ -119,8 +120,8 @@
   mExchanges.erase(exchange);
   const auto request = mRequests.find(key);
   if (request != mRequests.end()) {
-    request->second.mAudience.Remove(aEvent.mExchange);
-    Settle(key);
+    request->second.mSubscribers.Remove(aEvent.mExchange);
+    PublishProgress(key);
   }
 }
 
@@ -139,7 +140,9 @@
     Overloaded{
       [&](const AcceptPending& aAccept) { OnAccepted(key, aAccept, answer); },
       [&](const ResolvePending&) { OnResolved(key, answer); },
-      [&](const TakeOverPending& aTake) { OnTakenOver(key, aTake, answer); },
+      [&](const TakeOverPending& aTakeOver) {
+        OnTakenOver(key, aTakeOver, answer);
+      },
       [&](const ConfirmPending& aOne) { OnConfirmed(key, aOne, answer); },
       [&](const ShowPending& aShow) { OnShown(aShow, answer); },
       [&](const ExecutionPending&) {
@@ -196,7 +199,7 @@
       active.push_back(id);
     }
   }
-  mDesk.TakeMembers(std::move(active));
+  mAdmission.SetMembers(std::move(active));
   std::vector<RequestKey> lost;
   for (const auto& [key, request] : mRequests) {
     if (request.mFollowing && !IsMember(request.mFollowing->mExecutor)) {
@@ -221,9 +224,9 @@
     if (request.mExecution) {
       HandOver(key, request);
     } else if (request.mFollowing) {
-      request.mAudience.MoveCallersAway(*mEffects);
+      request.mSubscribers.RedirectCallers(*mEffects);
     }
-    Settle(key);
+    PublishProgress(key);
   }
 }
 
@@ -248,13 +251,13 @@
   while (!mWakes.empty() && mWakes.begin()->first <= mNow) {
     const RequestKey key = mWakes.begin()->second;
     mWakes.erase(mWakes.begin());
-    WakeOne(key);
+    HandleWake(key);
   }
   TickAdmission();
 }
 
 void
-RequestManagerState::WakeOne(const RequestKey& aKey)
+RequestManagerState::HandleWake(const RequestKey& aKey)
 {
   const auto found = mRequests.find(aKey);
   if (found == mRequests.end()) {
@@ -267,7 +270,7 @@
     });
   } else if (found->second.mFollowing) {
     FollowTick(aKey, found->second);
-    Settle(aKey);
+    PublishProgress(aKey);
   }
 }
 
@@ -316,17 +319,18 @@
                        .mSelf = mSelf,
                        .mOptions = mOptions,
                        .mRouter = mRouter,
-                       .mDesk = mDesk,
+                       .mAdmission = mAdmission,
                        .mRandom = mRandom,
                        .mLastCall = mLastCall,
                        .mEffects = *mEffects };
   aUse(*found->second.mExecution, context);
-  ClaimNewEffects(aKey, before);
-  Settle(aKey);
+  RegisterNewEffects(aKey, before);
+  PublishProgress(aKey);
 }
 
 void
-RequestManagerState::ClaimNewEffects(const RequestKey& aKey, std::size_t aFrom)
+RequestManagerState::RegisterNewEffects(const RequestKey& aKey,
+                                        std::size_t aFrom)
 {
   for (std::size_t index = aFrom; index < mEffects->size(); ++index) {
     const Effect& effect = (*mEffects)[index];
@@ -341,7 +345,7 @@
 }
 
 void
-RequestManagerState::Settle(const RequestKey& aKey)
+RequestManagerState::PublishProgress(const RequestKey& aKey)
 {
   const auto found = mRequests.find(aKey);
   if (found == mRequests.end()) {
@@ -349,12 +353,12 @@
   }
   LocalRequest& request = found->second;
   if (request.mExecution) {
-    SettleExecution(aKey, request);
+    PublishExecutionProgress(aKey, request);
   } else {
-    request.mAudience.Publish(aKey, request.mMirror, *mEffects);
+    request.mSubscribers.Publish(aKey, request.mReceivedAnswer, *mEffects);
   }
   const bool unused =
-    !request.mExecution && !request.mResolving && request.mAudience.Empty();
+    !request.mExecution && !request.mResolving && request.mSubscribers.Empty();
   if (unused) {
     SetWake(aKey, request, TimePoint::max());
     mRequests.erase(found);
@@ -362,11 +366,11 @@
 }
 
 void
-RequestManagerState::SettleExecution(const RequestKey& aKey,
-                                     LocalRequest& aRequest)
+RequestManagerState::PublishExecutionProgress(const RequestKey& aKey,
+                                              LocalRequest& aRequest)
 {
   Execution& execution = *aRequest.mExecution;
-  aRequest.mAudience.Publish(aKey, execution.CurrentAnswer(), *mEffects);
+  aRequest.mSubscribers.Publish(aKey, execution.CurrentAnswer(), *mEffects);
   if (!execution.Ended()) {
     SetWake(aKey, aRequest, execution.NextWake());
     return;
@@ -384,8 +388,8 @@
     return;
   }
   if (mDraining) {
-    aRequest.mAudience.MoveCallersAway(*mEffects);
-  } else if (!aRequest.mAudience.Empty()) {
+    aRequest.mSubscribers.RedirectCallers(*mEffects);
+  } else if (!aRequest.mSubscribers.Empty()) {
     Resolve(aKey);
   }
 }
--- a/src/request/RequestManagerState.h
+++ b/src/request/RequestManagerState.h
@@ -62,7 +62,7 @@
   void OnRelay(MemberId aFrom, const FollowMessage& aMessage);
   void OnRelay(MemberId aFrom, const PieceMessage& aMessage);
   void OnRelay(MemberId aFrom, const EndedMessage& aMessage);
-  void OnRelay(MemberId aFrom, const NotHereMessage& aMessage);
+  void OnRelay(MemberId aFrom, const NotExecutorMessage& aMessage);
   void OnRelay(MemberId aFrom, const HandOverMessage& aMessage);
   void OnRelay(MemberId aFrom, const TakenOverMessage& aMessage);
   void OnRelay(MemberId aFrom, const DemandMessage& aMessage);
@@ -86,18 +86,18 @@
                        AttemptNumber aTurn,
                        MemberId aFrom);
   void Follow(const RequestKey& aKey, const ledger::RequestRecord& aRecord);
-  void AskExecutor(const RequestKey& aKey, LocalRequest& aRequest);
+  void QueryExecutor(const RequestKey& aKey, LocalRequest& aRequest);
   void BeginExecution(const RequestKey& aKey,
                       const ledger::OperationAnswer& aAnswer,
-                      ExecutionStart aWhy);
+                      ExecutionOrigin aWhy);
   void HandOver(const RequestKey& aKey, LocalRequest& aRequest);
   std::optional<MemberId> HandOverTarget(const RequestKey& aKey) const;
 
   /** Publishes news of a request, sets its wake and drops it if unused. */
-  void Settle(const RequestKey& aKey);
-  void SettleExecution(const RequestKey& aKey, LocalRequest& aRequest);
+  void PublishProgress(const RequestKey& aKey);
+  void PublishExecutionProgress(const RequestKey& aKey, LocalRequest& aRequest);
   void SetWake(const RequestKey& aKey, LocalRequest& aRequest, TimePoint aWake);
-  void WakeOne(const RequestKey& aKey);
+  void HandleWake(const RequestKey& aKey);
   void FollowTick(const RequestKey& aKey, LocalRequest& aRequest);
 
   CallId Propose(const RequestKey& aKey,
@@ -114,13 +114,13 @@
   /** Runs aUse with a context, then claims what it proposed and started. */
   void WithExecution(const RequestKey& aKey, const UseExecution& aUse);
   /** Forgets the exchanges that got their last reply. */
-  void ForgetAnswered(const Effects& aEffects);
-  void ClaimNewEffects(const RequestKey& aKey, std::size_t aFrom);
+  void RemoveAnsweredExchanges(const Effects& aEffects);
+  void RegisterNewEffects(const RequestKey& aKey, std::size_t aFrom);
 
   MemberId mSelf;
   RequestOptions mOptions;
   routing::Router& mRouter;
-  ServiceDesk mDesk;
+  AdmissionController mAdmission;
   std::mt19937_64 mRandom;
   CallId mLastCall;
   bool mDraining = false;
--- a/src/request/StepContext.h
+++ b/src/request/StepContext.h
@@ -5,7 +5,7 @@
 #include "peridotspool/request/Effect.h"
 #include "peridotspool/request/RequestOptions.h"
 #include "peridotspool/routing/Router.h"
-#include "request/ServiceDesk.h"
+#include "request/AdmissionController.h"
 
 #include <random>
 
@@ -18,7 +18,7 @@
   MemberId mSelf;
   const RequestOptions& mOptions;
   routing::Router& mRouter;
-  ServiceDesk& mDesk;
+  AdmissionController& mAdmission;
   std::mt19937_64& mRandom;
   /** The last handle given out. */
   CallId& mLastCall;
--- a/src/runtime/EntryDecider.cpp
+++ b/src/runtime/EntryDecider.cpp
@@ -174,7 +174,7 @@
 }
 
 void
-EntryDecider::Carry(const request::TakeSettingsEffect& aEffect)
+EntryDecider::Carry(const request::ApplySettingsEffect& aEffect)
 {
   settings::SettingsErrors errors;
   auto tree = settings::SettingsTree::Parse(
@@ -183,7 +183,7 @@
     errors);
   if (tree) {
     mParts.mSettings.Store(tree);
-    Step(request::SettingsTakenEvent{ aEffect.mRevision, std::move(tree) });
+    Step(request::SettingsAppliedEvent{ aEffect.mRevision, std::move(tree) });
   }
   // A text that the control replicas took and this program can't read (it is
   // older, say) stays out of force: the operators see this entry as missing.
@@ -197,7 +197,7 @@
 }
 
 void
-EntryDecider::Carry(const request::EpochTakenEffect& aEffect)
+EntryDecider::Carry(const request::EpochAdoptedEffect& aEffect)
 {
   mParts.mLogger.Log(
     observe::EventId::kEpochChanged,
--- a/src/runtime/EntryDecider.h
+++ b/src/runtime/EntryDecider.h
@@ -84,9 +84,9 @@
   void Step(const request::EntryNodeEvent& aEvent);
   void Carry(const request::ToControlReplicaEffect& aEffect);
   void Carry(const request::ToMemberEffect& aEffect);
-  void Carry(const request::TakeSettingsEffect& aEffect);
+  void Carry(const request::ApplySettingsEffect& aEffect);
   void Carry(const request::BecameMemberEffect& aEffect);
-  void Carry(const request::EpochTakenEffect& aEffect);
+  void Carry(const request::EpochAdoptedEffect& aEffect);
   void Carry(const request::LostMembershipEffect& aEffect);
   void Carry(const request::LeftEffect& aEffect);
   void Carry(const request::StartUpstreamEffect& aEffect);
--- a/test/request/ServiceDeskTest.cpp
+++ b/test/request/AdmissionControllerTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: unit promise-refusal-did-not-run
-#include "request/ServiceDesk.h"
+#include "request/AdmissionController.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +11,7 @@
 const ServiceName kService("assistant");
 const TimePoint kNow{ std::chrono::hours(1) };
 
-ServiceDesk::Tree
+AdmissionController::Tree
 TreeWithLimits(const std::string& aRate, const std::string& aConcurrency)
 {
   const std::string text =
@@ -27,9 +27,11 @@
 }
 
 routing::AdmissionOutcome
-Ask(ServiceDesk& aDesk, const std::string& aKey, TimePoint aNow = kNow)
+Admit(AdmissionController& aController,
+      const std::string& aKey,
+      TimePoint aNow = kNow)
 {
-  return aDesk.Ask(
+  return aController.Admit(
     kService,
     { .mKey = { kLarge, aKey }, .mDeadline = aNow + std::chrono::seconds(30) },
     aNow);
@@ -43,13 +45,14 @@
   // hardly any run. Sequence: another entry publishes its demand; a caller asks
   // here before this entry has published any. Cause: the demand that is known
   // names only the other entry, so this one's part is nothing.
-  ServiceDesk desk(MemberId(1), {});
-  desk.TakeSettings(TreeWithLimits("100/s", "100"));
-  desk.TakeMembers({ MemberId(1), MemberId(2) });
-  REQUIRE(std::holds_alternative<routing::Admitted>(Ask(desk, "a")));
-  desk.TakeDemand(MemberId(2), kService, { { kLarge, 50.0 } }, kNow);
+  AdmissionController controller(MemberId(1), {});
+  controller.SetSettings(TreeWithLimits("100/s", "100"));
+  controller.SetMembers({ MemberId(1), MemberId(2) });
+  REQUIRE(std::holds_alternative<routing::Admitted>(Admit(controller, "a")));
+  controller.RecordDemand(MemberId(2), kService, { { kLarge, 50.0 } }, kNow);
   const TimePoint later = kNow + std::chrono::seconds(10);
-  CHECK(std::holds_alternative<routing::Admitted>(Ask(desk, "b", later)));
+  CHECK(
+    std::holds_alternative<routing::Admitted>(Admit(controller, "b", later)));
 }
 
 TEST_CASE("CustomerOverItsTotalIsRefusedThoughItsServicesHaveRoom")
@@ -68,38 +71,38 @@
   auto tree = settings::SettingsTree::Parse(text, "test", errors);
   INFO(settings::ToText(errors));
   REQUIRE(tree != nullptr);
-  ServiceDesk desk(MemberId(1), {});
-  desk.TakeSettings(tree);
-  REQUIRE(std::holds_alternative<routing::Admitted>(Ask(desk, "a")));
-  const auto ask = [&] {
-    return desk.Ask(
+  AdmissionController controller(MemberId(1), {});
+  controller.SetSettings(tree);
+  REQUIRE(std::holds_alternative<routing::Admitted>(Admit(controller, "a")));
+  const auto admit = [&] {
+    return controller.Admit(
       ServiceName("floor-data"),
       { .mKey = { kLarge, "b" }, .mDeadline = kNow + std::chrono::seconds(5) },
       kNow);
   };
-  CHECK(std::holds_alternative<routing::Refused>(ask()));
-  desk.Ended(kService, kLarge, std::chrono::seconds(1));
-  CHECK(std::holds_alternative<routing::Admitted>(ask()));
+  CHECK(std::holds_alternative<routing::Refused>(admit()));
+  controller.RecordEnd(kService, kLarge, std::chrono::seconds(1));
+  CHECK(std::holds_alternative<routing::Admitted>(admit()));
 }
 
 TEST_CASE("WithoutSettingsEverybodyIsAdmitted")
 {
-  ServiceDesk desk(MemberId(1), {});
-  CHECK(std::holds_alternative<routing::Admitted>(Ask(desk, "a")));
+  AdmissionController controller(MemberId(1), {});
+  CHECK(std::holds_alternative<routing::Admitted>(Admit(controller, "a")));
 }
 
 TEST_CASE("CustomerOverItsConcurrencyIsRefusedAtOnceAndToldWhenToComeBack")
 {
-  ServiceDesk desk(MemberId(1), {});
-  desk.TakeSettings(TreeWithLimits("100/s", "1"));
-  REQUIRE(std::holds_alternative<routing::Admitted>(Ask(desk, "a")));
-  const auto outcome = Ask(desk, "b");
+  AdmissionController controller(MemberId(1), {});
+  controller.SetSettings(TreeWithLimits("100/s", "1"));
+  REQUIRE(std::holds_alternative<routing::Admitted>(Admit(controller, "a")));
+  const auto outcome = Admit(controller, "b");
   const auto* refused = std::get_if<routing::Refused>(&outcome);
   REQUIRE(refused != nullptr);
   CHECK(refused->mReason == routing::AdmissionReason::kConcurrencyLimit);
   CHECK(refused->mRetryAfter > Duration(0));
-  desk.Ended(kService, kLarge, std::chrono::seconds(1));
-  CHECK(std::holds_alternative<routing::Admitted>(Ask(desk, "c")));
+  controller.RecordEnd(kService, kLarge, std::chrono::seconds(1));
+  CHECK(std::holds_alternative<routing::Admitted>(Admit(controller, "c")));
 }
 
 } // namespace peridotspool::request
--- a/test/request/AudienceTest.cpp
+++ b/test/request/AnswerSubscribersTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: promise-whole-own-answer
-#include "request/Audience.h"
+#include "request/AnswerSubscribers.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -18,7 +18,7 @@
   AttemptNumber mLineage;
   bool mDone = false;
 
-  void Take(const Effects& aEffects, CallId aExchange)
+  void Apply(const Effects& aEffects, CallId aExchange)
   {
     for (const Effect& effect : aEffects) {
       const auto* reply = std::get_if<ReplyEffect>(&effect);
@@ -47,12 +47,12 @@
     const auto pieces = *rc::gen::container<std::vector<std::string>>(
       rc::gen::string<std::string>());
     const auto joinAt = *rc::gen::inRange<std::size_t>(0, pieces.size() + 1);
-    Audience audience;
+    AnswerSubscribers subscribers;
     Answer answer{ .mLineage = AttemptNumber(1) };
     CallerCopy copy;
     for (std::size_t index = 0; index <= pieces.size(); ++index) {
       if (index == joinAt) {
-        audience.Add(CallId(7), {});
+        subscribers.Add(CallId(7), {});
       }
       Effects effects;
       if (index < pieces.size()) {
@@ -60,8 +60,8 @@
       } else {
         answer.mOutcome = ledger::Outcome{};
       }
-      audience.Publish(kKey, answer, effects);
-      copy.Take(effects, CallId(7));
+      subscribers.Publish(kKey, answer, effects);
+      copy.Apply(effects, CallId(7));
     }
     RC_ASSERT(copy.mText == answer.mText);
     RC_ASSERT(copy.mDone);
@@ -75,29 +75,29 @@
   // engine were lost; the request began again at another engine; the caller
   // attaches with its 4 bytes. Cause: an offset into one text is used in
   // another.
-  Audience audience;
-  audience.Add(CallId(7), { AttemptNumber(1), 4 });
+  AnswerSubscribers subscribers;
+  subscribers.Add(CallId(7), { AttemptNumber(1), 4 });
   const Answer answer{ .mLineage = AttemptNumber(1001),
                        .mText = "use feeder 12" };
   Effects effects;
-  audience.Publish(kKey, answer, effects);
+  subscribers.Publish(kKey, answer, effects);
   CallerCopy copy{ .mText = "put ", .mLineage = AttemptNumber(1) };
-  copy.Take(effects, CallId(7));
+  copy.Apply(effects, CallId(7));
   CHECK(copy.mText == "use feeder 12");
   CHECK(copy.mLineage == AttemptNumber(1001));
 }
 
 TEST_CASE("ListenersAreLetGoAfterTheOutcome")
 {
-  Audience audience;
-  audience.Add(CallId(7), {});
-  audience.Add(MemberId(3), {});
+  AnswerSubscribers subscribers;
+  subscribers.Add(CallId(7), {});
+  subscribers.Add(MemberId(3), {});
   Answer answer;
   answer.mOutcome = ledger::Outcome{};
   Effects effects;
-  audience.Publish(kKey, answer, effects);
+  subscribers.Publish(kKey, answer, effects);
   CHECK(effects.size() == 2);
-  CHECK(audience.Empty());
+  CHECK(subscribers.Empty());
 }
 
 } // namespace peridotspool::request
--- a/test/request/ManagerBench.cpp
+++ b/test/request/ManagerFixture.cpp
@@ -1,4 +1,4 @@
-#include "request/ManagerBench.h"
+#include "request/ManagerFixture.h"
 
 #include "peridotspool/base/Overloaded.h"
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-ManagerBench::ManagerBench(std::size_t aEntries)
+ManagerFixture::ManagerFixture(std::size_t aEntries)
 {
   for (std::size_t index = 0; index < aEntries; ++index) {
     Entry entry{ .mId = MemberId(index + 1) };
@@ -23,11 +23,11 @@
       entry.mId, RequestOptions{}, *entry.mRouter);
     mEntries.push_back(std::move(entry));
   }
-  TellMembers();
+  PublishMembers();
 }
 
 void
-ManagerBench::TellMembers()
+ManagerFixture::PublishMembers()
 {
   membership::EpochMap map{ .mEpoch = EpochNumber(1) };
   for (const Entry& entry : mEntries) {
@@ -43,7 +43,8 @@
 }
 
 void
-ManagerBench::AddUpstream(const std::string& aName, routing::UpstreamKind aKind)
+ManagerFixture::AddUpstream(const std::string& aName,
+                            routing::UpstreamKind aKind)
 {
   mUpstreams.push_back(routing::UpstreamAnnouncement{
     .mName = UpstreamName(aName),
@@ -61,7 +62,7 @@
 }
 
 CallId
-ManagerBench::Submit(std::size_t aEntry, bool aIdempotent)
+ManagerFixture::Submit(std::size_t aEntry, bool aIdempotent)
 {
   mLastExchange = mLastExchange.Next();
   mCallers[mLastExchange];
@@ -76,7 +77,7 @@
 }
 
 CallId
-ManagerBench::Attach(std::size_t aEntry, const Caller& aHad)
+ManagerFixture::Attach(std::size_t aEntry, const Caller& aHad)
 {
   mLastExchange = mLastExchange.Next();
   mCallers[mLastExchange] = aHad;
@@ -89,7 +90,7 @@
 }
 
 void
-ManagerBench::Cancel(std::size_t aEntry)
+ManagerFixture::Cancel(std::size_t aEntry)
 {
   mLastExchange = mLastExchange.Next();
   mCallers[mLastExchange];
@@ -97,24 +98,24 @@
 }
 
 void
-ManagerBench::Drain(std::size_t aEntry)
+ManagerFixture::Drain(std::size_t aEntry)
 {
   Step(At(aEntry), DrainEvent{});
 }
 
 void
-ManagerBench::Kill(std::size_t aEntry)
+ManagerFixture::Kill(std::size_t aEntry)
 {
   Entry& entry = At(aEntry);
   entry.mManager.reset();
   std::erase_if(mOpenCalls, [&](const auto& aPair) {
     return aPair.first.first == entry.mId;
   });
-  TellMembers();
+  PublishMembers();
 }
 
 void
-ManagerBench::Feed(const Call& aCall, UpstreamOutcome aOutcome)
+ManagerFixture::Feed(const Call& aCall, UpstreamOutcome aOutcome)
 {
   Entry* entry = Find(aCall.mEntry);
   REQUIRE(entry != nullptr);
@@ -126,7 +127,7 @@
 }
 
 void
-ManagerBench::Advance(Duration aTime)
+ManagerFixture::Advance(Duration aTime)
 {
   constexpr Duration kStep = std::chrono::milliseconds(10);
   for (Duration passed{ 0 }; passed < aTime; passed += kStep) {
@@ -140,8 +141,8 @@
   }
 }
 
-std::vector<ManagerBench::Call>
-ManagerBench::Calls() const
+std::vector<ManagerFixture::Call>
+ManagerFixture::Calls() const
 {
   std::vector<Call> calls;
   for (const auto& [id, start] : mOpenCalls) {
@@ -150,27 +151,27 @@
   return calls;
 }
 
-const ManagerBench::Caller&
-ManagerBench::CallerOf(CallId aExchange) const
+const ManagerFixture::Caller&
+ManagerFixture::CallerOf(CallId aExchange) const
 {
   return mCallers.at(aExchange);
 }
 
 std::uint64_t
-ManagerBench::Counted(Tally aTally) const
+ManagerFixture::Counted(Tally aTally) const
 {
   const auto found = mCounts.find(aTally);
   return found == mCounts.end() ? 0 : found->second;
 }
 
 const ledger::RequestRecord*
-ManagerBench::Record() const
+ManagerFixture::Record() const
 {
   return mRecord ? &*mRecord : nullptr;
 }
 
-ManagerBench::Entry*
-ManagerBench::Find(MemberId aId)
+ManagerFixture::Entry*
+ManagerFixture::Find(MemberId aId)
 {
   for (Entry& entry : mEntries) {
     if (entry.mId == aId && entry.mManager) {
@@ -181,15 +182,15 @@
 }
 
 void
-ManagerBench::Step(Entry& aEntry, const Event& aEvent)
+ManagerFixture::Step(Entry& aEntry, const Event& aEvent)
 {
   for (const Effect& effect : aEntry.mManager->Step(aEvent, mNow)) {
-    std::visit([&](const auto& aAny) { Carry(aEntry, aAny); }, effect);
+    std::visit([&](const auto& aAny) { Perform(aEntry, aAny); }, effect);
   }
 }
 
 void
-ManagerBench::Carry(Entry& aEntry, const ProposeEffect& aEffect)
+ManagerFixture::Perform(Entry& aEntry, const ProposeEffect& aEffect)
 {
   mHeld.push_back(
     HeldAnswer{ aEntry.mId, aEffect.mCall, Apply(aEffect.mOperation) });
@@ -197,10 +198,10 @@
 }
 
 void
-ManagerBench::ReleaseAnswers()
+ManagerFixture::ReleaseAnswers()
 {
-  while (!mHeld.empty() && (!mHoldLedger || mLetThrough > 0)) {
-    mLetThrough -= mLetThrough > 0 ? 1 : 0;
+  while (!mHeld.empty() && (!mHoldLedgerAnswers || mHeldAnswersToRelease > 0)) {
+    mHeldAnswersToRelease -= mHeldAnswersToRelease > 0 ? 1 : 0;
     const HeldAnswer held = mHeld.front();
     mHeld.pop_front();
     if (Entry* entry = Find(held.mTo)) {
@@ -210,29 +211,29 @@
 }
 
 void
-ManagerBench::Carry(Entry& aEntry, const RelayEffect& aEffect)
+ManagerFixture::Perform(Entry& aEntry, const RelayEffect& aEffect)
 {
   Entry* to = Find(aEffect.mTo);
-  if (to != nullptr && !mLoseRelays) {
+  if (to != nullptr && !mDropRelays) {
     Step(*to, RelayEvent{ aEntry.mId, aEffect.mMessage });
   }
 }
 
 void
-ManagerBench::Carry(Entry& aEntry, const StartUpstreamEffect& aEffect)
+ManagerFixture::Perform(Entry& aEntry, const StartUpstreamEffect& aEffect)
 {
   mStarted.push_back(aEffect);
   mOpenCalls[{ aEntry.mId, aEffect.mCall }] = aEffect;
 }
 
 void
-ManagerBench::Carry(Entry& aEntry, const DropUpstreamEffect& aEffect)
+ManagerFixture::Perform(Entry& aEntry, const DropUpstreamEffect& aEffect)
 {
   mOpenCalls.erase({ aEntry.mId, aEffect.mCall });
 }
 
 void
-ManagerBench::Carry(Entry& /*aEntry*/, const ReplyEffect& aEffect)
+ManagerFixture::Perform(Entry& /*aEntry*/, const ReplyEffect& aEffect)
 {
   Caller& caller = mCallers[aEffect.mExchange];
   std::visit(Overloaded{ [&](const AcceptedReply&) { caller.mAccepted = true; },
@@ -257,14 +258,14 @@
 }
 
 void
-ManagerBench::Carry(Entry& /*aEntry*/, const CountEffect& aEffect)
+ManagerFixture::Perform(Entry& /*aEntry*/, const CountEffect& aEffect)
 {
   mCounts[aEffect.mTally] += aEffect.mAmount;
 }
 
 /** The ledger's rules on one map that never fails, in the plainest form. */
 ledger::OperationAnswer
-ManagerBench::Apply(const ledger::Operation& aOperation)
+ManagerFixture::Apply(const ledger::Operation& aOperation)
 {
   using ledger::Verdict;
   ledger::OperationAnswer answer{ .mVerdict = Verdict::kDone,
@@ -297,8 +298,8 @@
   };
   const bool standing = mRecord->mIntent && !mRecord->mIntentVoid;
   const bool mayRunOnce =
-    !mRecord->mTerms.mIdempotent && standing && !mForgetIntents;
-  bool whole = false;
+    !mRecord->mTerms.mIdempotent && standing && !mIgnoreIntents;
+  bool fullRecord = false;
   std::visit(
     Overloaded{
       [&](const ledger::IntendOperation& aOne) {
@@ -315,16 +316,16 @@
         });
       },
       [&](const ledger::FinishOperation& aOne) {
-        const bool lie =
+        const bool falseRefusal =
           aOne.mOutcome.mKind == ledger::OutcomeKind::kRefused && mayRunOnce;
         const Verdict verdict =
           turnIs(aOne.mExecutorTurn) ? Verdict::kMayHaveRun : Verdict::kOldTurn;
-        change(turnIs(aOne.mExecutorTurn) && !lie, verdict, [&] {
+        change(turnIs(aOne.mExecutorTurn) && !falseRefusal, verdict, [&] {
           mRecord->mOutcome = aOne.mOutcome;
         });
       },
       [&](const ledger::TakeOverOperation& aOne) {
-        whole = true;
+        fullRecord = true;
         change(turnIs(aOne.mExecutorTurn), Verdict::kOldTurn, [&] {
           mRecord->mExecutor = aOne.mExecutor;
           mRecord->mExecutorTurn = mRecord->mExecutorTurn.Next();
@@ -336,10 +337,10 @@
             ledger::Outcome{ .mKind = ledger::OutcomeKind::kCancelled };
         });
       },
-      [&](const auto&) { whole = true; } },
+      [&](const auto&) { fullRecord = true; } },
     aOperation);
   answer.mRecord = mRecord;
-  if (!whole && answer.mVerdict == Verdict::kDone) {
+  if (!fullRecord && answer.mVerdict == Verdict::kDone) {
     // As the real ledger does: the proposer has the terms already.
     answer.mRecord->mTerms.mBody.clear();
   }
@@ -347,7 +348,7 @@
 }
 
 UpstreamPiece
-PieceFor(const ManagerBench::Call& aCall,
+PieceFor(const ManagerFixture::Call& aCall,
          std::uint64_t aIndex,
          const std::string& aText)
 {
@@ -358,7 +359,7 @@
 }
 
 UpstreamDone
-DoneFor(const ManagerBench::Call& aCall, std::uint64_t aTokens)
+DoneFor(const ManagerFixture::Call& aCall, std::uint64_t aTokens)
 {
   return UpstreamDone{ .mRequest = aCall.mStart.mRequest,
                        .mAttempt = aCall.mStart.mAttempt,
--- a/test/request/ManagerBench.h
+++ b/test/request/ManagerFixture.h
@@ -14,10 +14,10 @@
  * Request managers of a few entries around one ledger that never fails and a
  * test that plays the upstreams. Messages between entries can be lost.
  */
-class ManagerBench
+class ManagerFixture
 {
 public:
-  explicit ManagerBench(std::size_t aEntries);
+  explicit ManagerFixture(std::size_t aEntries);
 
   /** A caller's view of one exchange, kept as a client of ours keeps it. */
   struct Caller
@@ -56,13 +56,13 @@
   /** Every StartUpstreamEffect ever, dropped or not. */
   std::vector<StartUpstreamEffect> mStarted;
   /** While true, messages between entries vanish. */
-  bool mLoseRelays = false;
+  bool mDropRelays = false;
   /** While true, the ledger keeps its answers back. */
-  bool mHoldLedger = false;
+  bool mHoldLedgerAnswers = false;
   /** While the answers are kept back, this many still go through. */
-  std::size_t mLetThrough = 0;
+  std::size_t mHeldAnswersToRelease = 0;
   /** For showing tests fail: a ledger that forgets dispatch intents. */
-  bool mForgetIntents = false;
+  bool mIgnoreIntents = false;
 
 private:
   struct Entry
@@ -81,15 +81,15 @@
   Entry& At(std::size_t aEntry) { return mEntries.at(aEntry); }
   Entry* Find(MemberId aId);
   void Step(Entry& aEntry, const Event& aEvent);
-  void TellMembers();
-  void Carry(Entry& aEntry, const ProposeEffect& aEffect);
-  void Carry(Entry& aEntry, const RelayEffect& aEffect);
-  void Carry(Entry& aEntry, const StartUpstreamEffect& aEffect);
-  void Carry(Entry& aEntry, const DropUpstreamEffect& aEffect);
-  void Carry(Entry& aEntry, const ReplyEffect& aEffect);
-  void Carry(Entry& aEntry, const CountEffect& aEffect);
+  void PublishMembers();
+  void Perform(Entry& aEntry, const ProposeEffect& aEffect);
+  void Perform(Entry& aEntry, const RelayEffect& aEffect);
+  void Perform(Entry& aEntry, const StartUpstreamEffect& aEffect);
+  void Perform(Entry& aEntry, const DropUpstreamEffect& aEffect);
+  void Perform(Entry& aEntry, const ReplyEffect& aEffect);
+  void Perform(Entry& aEntry, const CountEffect& aEffect);
   template<typename Other>
-  void Carry(Entry& /*aEntry*/, const Other& /*aEffect*/)
+  void Perform(Entry& /*aEntry*/, const Other& /*aEffect*/)
   {
   }
   ledger::OperationAnswer Apply(const ledger::Operation& aOperation);
@@ -106,12 +106,12 @@
   CallId mLastExchange{ 1000 };
 };
 
-/** Shorthands for what an upstream says about the bench's one request. */
+/** Shorthands for what an upstream says about the fixture's one request. */
 UpstreamPiece
-PieceFor(const ManagerBench::Call& aCall,
+PieceFor(const ManagerFixture::Call& aCall,
          std::uint64_t aIndex,
          const std::string& aText);
 UpstreamDone
-DoneFor(const ManagerBench::Call& aCall, std::uint64_t aTokens);
+DoneFor(const ManagerFixture::Call& aCall, std::uint64_t aTokens);
 
 } // namespace peridotspool::request
--- a/test/request/WholeAnswerTest.cpp
+++ b/test/request/WholeAnswerTest.cpp
@@ -1,6 +1,6 @@
 // ctest-labels: promise-whole-own-answer promise-survives-reclaim
 // promise-graceful-stop
-#include "request/ManagerBench.h"
+#include "request/ManagerFixture.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -39,14 +39,14 @@
 }
 
 void
-FinishCall(ManagerBench& aBench,
-           const ManagerBench::Call& aCall,
+FinishCall(ManagerFixture& aFixture,
+           const ManagerFixture::Call& aCall,
            std::uint64_t aTokens)
 {
   for (auto index = FirstIndex(aCall.mStart); index < aTokens; ++index) {
-    aBench.Feed(aCall, PieceFor(aCall, index, Token(index)));
+    aFixture.Feed(aCall, PieceFor(aCall, index, Token(index)));
   }
-  aBench.Feed(aCall, DoneFor(aCall, aTokens));
+  aFixture.Feed(aCall, DoneFor(aCall, aTokens));
 }
 
 } // namespace
@@ -56,21 +56,21 @@
   // Symptom: a technician sees a line of another plant's plan. Sequence: the
   // engine sends a piece of another request on this stream. Cause: the stream
   // is believed to belong to whoever opened it.
-  ManagerBench bench(1);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  const CallId caller = bench.Submit(0, true);
-  const auto call = bench.Calls().front();
-  bench.Feed(call, PieceFor(call, 0, Token(0)));
+  ManagerFixture fixture(1);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  const CallId caller = fixture.Submit(0, true);
+  const auto call = fixture.Calls().front();
+  fixture.Feed(call, PieceFor(call, 0, Token(0)));
   UpstreamPiece crossed = PieceFor(call, 1, "someone else's ");
   crossed.mRequest = "kilimanjaro/lease-4";
-  bench.Feed(call, crossed);
+  fixture.Feed(call, crossed);
   UpstreamPiece old = PieceFor(call, 1, "an older attempt's ");
   old.mAttempt = AttemptNumber(99);
-  bench.Feed(call, old);
-  bench.Feed(call, PieceFor(call, 1, Token(1)));
-  bench.Feed(call, DoneFor(call, 2));
-  CHECK(bench.CallerOf(caller).mText == WholeText(2));
-  CHECK(bench.Counted(Tally::kCrossedPieceDropped) == 2);
+  fixture.Feed(call, old);
+  fixture.Feed(call, PieceFor(call, 1, Token(1)));
+  fixture.Feed(call, DoneFor(call, 2));
+  CHECK(fixture.CallerOf(caller).mText == WholeText(2));
+  CHECK(fixture.Counted(Tally::kCrossedPieceDropped) == 2);
 }
 
 TEST_CASE("SilentStreamIsResumedAndItsLateBytesAreDropped")
@@ -78,46 +78,47 @@
   // Symptom: an answer has a part twice. Sequence: the connection goes silent;
   // the stream is resumed over a new one; the old one's bytes arrive after
   // all. Cause: pieces are taken whatever connection they come from.
-  ManagerBench bench(1);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  const CallId caller = bench.Submit(0, true);
-  const auto silent = bench.Calls().front();
-  bench.Feed(silent, PieceFor(silent, 0, Token(0)));
-  bench.Feed(silent, UpstreamBroken{ .mReason = "silent", .mTimedOut = true });
-  REQUIRE(bench.Calls().size() == 1);
-  const auto resumed = bench.Calls().front();
+  ManagerFixture fixture(1);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  const CallId caller = fixture.Submit(0, true);
+  const auto silent = fixture.Calls().front();
+  fixture.Feed(silent, PieceFor(silent, 0, Token(0)));
+  fixture.Feed(silent,
+               UpstreamBroken{ .mReason = "silent", .mTimedOut = true });
+  REQUIRE(fixture.Calls().size() == 1);
+  const auto resumed = fixture.Calls().front();
   CHECK(std::holds_alternative<ResumeMode>(resumed.mStart.mMode));
   CHECK(resumed.mStart.mAttempt == silent.mStart.mAttempt);
-  bench.Feed(silent, PieceFor(silent, 1, Token(1)));
-  FinishCall(bench, resumed, 3);
-  CHECK(bench.CallerOf(caller).mText == WholeText(3));
-  CHECK(bench.Counted(Tally::kLatePieceDropped) == 1);
+  fixture.Feed(silent, PieceFor(silent, 1, Token(1)));
+  FinishCall(fixture, resumed, 3);
+  CHECK(fixture.CallerOf(caller).mText == WholeText(3));
+  CHECK(fixture.Counted(Tally::kLatePieceDropped) == 1);
 }
 
 TEST_CASE("LostEngineIsContinuedElsewhereAfterWhatWasDelivered")
 {
   // Symptom: tokens recomputed after each reclaim. Sequence: an engine dies in
   // the middle of an answer. Cause: the next engine starts from zero.
-  ManagerBench bench(1);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  bench.AddUpstream("engine-2", UpstreamKind::kModelEngine);
-  const CallId caller = bench.Submit(0, true);
-  const auto first = bench.Calls().front();
-  bench.Feed(first, PieceFor(first, 0, Token(0)));
-  bench.Feed(first, PieceFor(first, 1, Token(1)));
-  bench.Feed(first, UpstreamBroken{ .mReason = "reset" });
-  bench.Feed(bench.Calls().front(),
-             UpstreamBroken{ .mReason = "refused", .mMayHaveRun = false });
-  bench.Advance(std::chrono::seconds(1));
-  REQUIRE(bench.Calls().size() == 1);
-  const auto second = bench.Calls().front();
+  ManagerFixture fixture(1);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  fixture.AddUpstream("engine-2", UpstreamKind::kModelEngine);
+  const CallId caller = fixture.Submit(0, true);
+  const auto first = fixture.Calls().front();
+  fixture.Feed(first, PieceFor(first, 0, Token(0)));
+  fixture.Feed(first, PieceFor(first, 1, Token(1)));
+  fixture.Feed(first, UpstreamBroken{ .mReason = "reset" });
+  fixture.Feed(fixture.Calls().front(),
+               UpstreamBroken{ .mReason = "refused", .mMayHaveRun = false });
+  fixture.Advance(std::chrono::seconds(1));
+  REQUIRE(fixture.Calls().size() == 1);
+  const auto second = fixture.Calls().front();
   CHECK(second.mStart.mAddress != first.mStart.mAddress);
   const auto* mode = std::get_if<GenerateMode>(&second.mStart.mMode);
   REQUIRE(mode != nullptr);
   CHECK(mode->mFromIndex == 2);
   CHECK(mode->mPrefix == WholeText(2));
-  FinishCall(bench, second, 4);
-  CHECK(bench.CallerOf(caller).mText == WholeText(4));
+  FinishCall(fixture, second, 4);
+  CHECK(fixture.CallerOf(caller).mText == WholeText(4));
 }
 
 TEST_CASE("TakeoverResumesTheEnginesStreamAndRecomputesNothing")
@@ -125,75 +126,75 @@
   // Symptom: an entry is reclaimed without notice and its answers start over.
   // Sequence: entry 0 streams and is lost; the caller attaches at entry 1 with
   // what it had. Cause: the new executor does not know where the stream lives.
-  ManagerBench bench(2);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  const CallId before = bench.Submit(0, true);
-  const auto first = bench.Calls().front();
-  bench.Feed(first, PieceFor(first, 0, Token(0)));
-  bench.Feed(first, PieceFor(first, 1, Token(1)));
-  bench.Kill(0);
-  const CallId after = bench.Attach(1, bench.CallerOf(before));
-  REQUIRE(bench.Calls().size() == 1);
-  const auto resumed = bench.Calls().front();
+  ManagerFixture fixture(2);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  const CallId before = fixture.Submit(0, true);
+  const auto first = fixture.Calls().front();
+  fixture.Feed(first, PieceFor(first, 0, Token(0)));
+  fixture.Feed(first, PieceFor(first, 1, Token(1)));
+  fixture.Kill(0);
+  const CallId after = fixture.Attach(1, fixture.CallerOf(before));
+  REQUIRE(fixture.Calls().size() == 1);
+  const auto resumed = fixture.Calls().front();
   CHECK(std::holds_alternative<ResumeMode>(resumed.mStart.mMode));
-  FinishCall(bench, resumed, 4);
-  CHECK(bench.CallerOf(after).mText == WholeText(4));
-  CHECK(bench.Counted(Tally::kTakenOver) == 1);
-  CHECK(bench.mStarted.size() == 2);
+  FinishCall(fixture, resumed, 4);
+  CHECK(fixture.CallerOf(after).mText == WholeText(4));
+  CHECK(fixture.Counted(Tally::kTakenOver) == 1);
+  CHECK(fixture.mStarted.size() == 2);
 }
 
 TEST_CASE("CallerAtAnotherEntryGetsTheWholeAnswerThoughRelaysAreLost")
 {
-  ManagerBench bench(2);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  bench.Submit(0, true);
-  const auto call = bench.Calls().front();
-  const CallId follower = bench.Attach(1, {});
-  bench.Feed(call, PieceFor(call, 0, Token(0)));
-  bench.mLoseRelays = true;
-  bench.Feed(call, PieceFor(call, 1, Token(1)));
-  bench.mLoseRelays = false;
-  bench.Feed(call, PieceFor(call, 2, Token(2)));
-  bench.Feed(call, DoneFor(call, 3));
-  bench.Advance(std::chrono::seconds(3));
-  CHECK(bench.CallerOf(follower).mText == WholeText(3));
-  REQUIRE(bench.CallerOf(follower).mOutcome.has_value());
+  ManagerFixture fixture(2);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  fixture.Submit(0, true);
+  const auto call = fixture.Calls().front();
+  const CallId follower = fixture.Attach(1, {});
+  fixture.Feed(call, PieceFor(call, 0, Token(0)));
+  fixture.mDropRelays = true;
+  fixture.Feed(call, PieceFor(call, 1, Token(1)));
+  fixture.mDropRelays = false;
+  fixture.Feed(call, PieceFor(call, 2, Token(2)));
+  fixture.Feed(call, DoneFor(call, 3));
+  fixture.Advance(std::chrono::seconds(3));
+  CHECK(fixture.CallerOf(follower).mText == WholeText(3));
+  REQUIRE(fixture.CallerOf(follower).mOutcome.has_value());
 }
 
 TEST_CASE("OutcomeThatWasLostOnTheWayIsLearntFromTheLedger")
 {
-  ManagerBench bench(2);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  bench.Submit(0, true);
-  const auto call = bench.Calls().front();
-  const CallId follower = bench.Attach(1, {});
-  bench.mLoseRelays = true;
-  FinishCall(bench, call, 3);
-  bench.mLoseRelays = false;
-  bench.Advance(std::chrono::seconds(3));
-  CHECK(bench.CallerOf(follower).mText == WholeText(3));
-  REQUIRE(bench.CallerOf(follower).mOutcome.has_value());
-  CHECK(bench.mStarted.size() == 1);
+  ManagerFixture fixture(2);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  fixture.Submit(0, true);
+  const auto call = fixture.Calls().front();
+  const CallId follower = fixture.Attach(1, {});
+  fixture.mDropRelays = true;
+  FinishCall(fixture, call, 3);
+  fixture.mDropRelays = false;
+  fixture.Advance(std::chrono::seconds(3));
+  CHECK(fixture.CallerOf(follower).mText == WholeText(3));
+  REQUIRE(fixture.CallerOf(follower).mOutcome.has_value());
+  CHECK(fixture.mStarted.size() == 1);
 }
 
 TEST_CASE("LeavingEntryHandsItsStreamsOver")
 {
   // Symptom: an announced reclaim cuts answers short. Sequence: entry 0 is
   // told to leave while it streams. Cause: it ends its streams with itself.
-  ManagerBench bench(2);
-  bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-  const CallId before = bench.Submit(0, true);
-  const auto first = bench.Calls().front();
-  bench.Feed(first, PieceFor(first, 0, Token(0)));
-  bench.Drain(0);
-  bench.Advance(std::chrono::milliseconds(50));
-  CHECK(bench.CallerOf(before).mMoved);
-  REQUIRE(bench.Calls().size() == 1);
-  const auto resumed = bench.Calls().front();
+  ManagerFixture fixture(2);
+  fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+  const CallId before = fixture.Submit(0, true);
+  const auto first = fixture.Calls().front();
+  fixture.Feed(first, PieceFor(first, 0, Token(0)));
+  fixture.Drain(0);
+  fixture.Advance(std::chrono::milliseconds(50));
+  CHECK(fixture.CallerOf(before).mMoved);
+  REQUIRE(fixture.Calls().size() == 1);
+  const auto resumed = fixture.Calls().front();
   CHECK(resumed.mEntry == MemberId(2));
-  const CallId after = bench.Attach(1, bench.CallerOf(before));
-  FinishCall(bench, resumed, 3);
-  CHECK(bench.CallerOf(after).mText == WholeText(3));
+  const CallId after = fixture.Attach(1, fixture.CallerOf(before));
+  FinishCall(fixture, resumed, 3);
+  CHECK(fixture.CallerOf(after).mText == WholeText(3));
 }
 
 TEST_CASE("AnyMixOfFaultsGivesEveryCallerTheWholeText")
@@ -202,19 +203,19 @@
   // engine without faults gives, and with one outcome.
   rc::prop("faults of the stream, in any order", [] {
     constexpr std::uint64_t kTokens = 6;
-    ManagerBench bench(2);
-    bench.AddUpstream("engine-1", UpstreamKind::kModelEngine);
-    bench.AddUpstream("engine-2", UpstreamKind::kModelEngine);
-    const CallId caller = bench.Submit(0, true);
-    const CallId follower = bench.Attach(1, {});
+    ManagerFixture fixture(2);
+    fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
+    fixture.AddUpstream("engine-2", UpstreamKind::kModelEngine);
+    const CallId caller = fixture.Submit(0, true);
+    const CallId follower = fixture.Attach(1, {});
     const auto faults =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 6));
     std::uint64_t next = 0;
     std::size_t broken = 0;
     for (const int fault : faults) {
-      const auto calls = bench.Calls();
+      const auto calls = fixture.Calls();
       if (calls.empty()) {
-        bench.Advance(std::chrono::milliseconds(300));
+        fixture.Advance(std::chrono::milliseconds(300));
         continue;
       }
       const auto call = calls.front();
@@ -223,43 +224,43 @@
         case 0: {
           UpstreamPiece crossed = PieceFor(call, next, "not yours ");
           crossed.mRequest = "other/request";
-          bench.Feed(call, crossed);
+          fixture.Feed(call, crossed);
           break;
         }
         case 1:
-          bench.Feed(call, PieceFor(call, next + 1, Token(next + 1)));
+          fixture.Feed(call, PieceFor(call, next + 1, Token(next + 1)));
           break;
         case 2:
           // Few enough that the attempts are not spent.
           if (++broken < 4) {
-            bench.Feed(call, UpstreamBroken{ .mTimedOut = true });
+            fixture.Feed(call, UpstreamBroken{ .mTimedOut = true });
           }
           break;
         case 3:
-          bench.mLoseRelays = !bench.mLoseRelays;
+          fixture.mDropRelays = !fixture.mDropRelays;
           break;
         default:
           if (next < kTokens) {
-            bench.Feed(call, PieceFor(call, next, Token(next)));
+            fixture.Feed(call, PieceFor(call, next, Token(next)));
             next = next + 1;
           }
           break;
       }
     }
-    bench.mLoseRelays = false;
-    bench.Advance(std::chrono::seconds(3));
-    for (const auto& call : bench.Calls()) {
+    fixture.mDropRelays = false;
+    fixture.Advance(std::chrono::seconds(3));
+    for (const auto& call : fixture.Calls()) {
       for (std::uint64_t index = 0; index < kTokens; ++index) {
-        bench.Feed(call, PieceFor(call, index, Token(index)));
+        fixture.Feed(call, PieceFor(call, index, Token(index)));
       }
-      bench.Feed(call, DoneFor(call, kTokens));
+      fixture.Feed(call, DoneFor(call, kTokens));
     }
-    bench.Advance(std::chrono::seconds(4));
+    fixture.Advance(std::chrono::seconds(4));
     for (const CallId one : { caller, follower }) {
-      RC_ASSERT(bench.CallerOf(one).mOutcome.has_value());
-      if (bench.CallerOf(one).mOutcome->mKind ==
+      RC_ASSERT(fixture.CallerOf(one).mOutcome.has_value());
+      if (fixture.CallerOf(one).mOutcome->mKind ==
           ledger::OutcomeKind::kAnswered) {
-        RC_ASSERT(bench.CallerOf(one).mText == WholeText(kTokens));
+        RC_ASSERT(fixture.CallerOf(one).mText == WholeText(kTokens));
       }
     }
   });
