--- a/src/request/AdmissionController.cpp
+++ b/src/request/AdmissionController.cpp
@@ -121,10 +121,10 @@
   if (rules == nullptr) {
     return routing::Admitted{};
   }
-  const auto whole =
+  const auto totalOutcome =
     At(TotalName()).mAdmission.Ask(aQuery, TotalOf(*rules), aNow);
-  if (std::holds_alternative<routing::Refused>(whole)) {
-    return whole;
+  if (std::holds_alternative<routing::Refused>(totalOutcome)) {
+    return totalOutcome;
   }
   const auto outcome = At(aService).mAdmission.Ask(aQuery, *rules, aNow);
   if (std::holds_alternative<routing::Refused>(outcome)) {
--- a/src/request/EntryCallers.cpp
+++ b/src/request/EntryCallers.cpp
@@ -4,9 +4,9 @@
 
 namespace peridotspool::request {
 
-template<typename Asked>
+template<typename CallerRequest>
 void
-EntryNodeState::ForwardOrReject(const Asked& aEvent)
+EntryNodeState::ForwardOrReject(const CallerRequest& aEvent)
 {
   if (mRequests) {
     StepRequests(aEvent);
--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -56,9 +56,9 @@
     StepLedger(ledger::MessageEvent{ aEvent.mFrom, *message });
   } else if (const auto* relay = std::get_if<RelayMessage>(&aEvent.mMessage)) {
     StepRequests(RelayEvent{ aEvent.mFrom, *relay });
-  } else if (const auto* news =
+  } else if (const auto* announcement =
                std::get_if<routing::UpstreamAnnouncement>(&aEvent.mMessage)) {
-    mRouter.Announce(*news, mNow);
+    mRouter.Announce(*announcement, mNow);
   }
 }
 
--- a/src/request/EntryNodeState.h
+++ b/src/request/EntryNodeState.h
@@ -42,8 +42,8 @@
   void OnCaller(const CallerGoneEvent& aEvent);
 
   /** Passes an event on, or answers it while this entry is no member. */
-  template<typename Asked>
-  void ForwardOrReject(const Asked& aEvent);
+  template<typename CallerRequest>
+  void ForwardOrReject(const CallerRequest& aEvent);
 
   void StepSession(const membership::ControlSessionEvent& aEvent);
   void Perform(const membership::ToControlEffect& aEffect);
--- a/src/request/ExecutionEnd.cpp
+++ b/src/request/ExecutionEnd.cpp
@@ -52,8 +52,8 @@
                         .mDeadline = mDeadline,
                         .mRandom = aContext.mRandom() },
     aContext.mNow);
-  if (const auto* never = std::get_if<routing::NoRetry>(&decision)) {
-    RefuseRetry(aContext, *never);
+  if (const auto* noRetry = std::get_if<routing::NoRetry>(&decision)) {
+    RefuseRetry(aContext, *noRetry);
     return;
   }
   if (!mStateMachine->Apply(ExecutionEvent::kRetry)) {
--- a/src/request/ExecutionLedger.cpp
+++ b/src/request/ExecutionLedger.cpp
@@ -151,9 +151,9 @@
 Execution::Conclude(StepContext& aContext, const ledger::Outcome& aOutcome)
 {
   mStateMachine->Apply(ExecutionEvent::kFinishCommitted);
-  const Answer kept = MakeAnswer(aOutcome, mRecord.mExecutor);
-  if (kept.mLineage.IsSet()) {
-    mAnswer = kept;
+  const Answer answer = MakeAnswer(aOutcome, mRecord.mExecutor);
+  if (answer.mLineage.IsSet()) {
+    mAnswer = answer;
   } else {
     mAnswer.mOutcome = aOutcome;
   }
