--- a/include/peridotspool/request/Effect.h
+++ b/include/peridotspool/request/Effect.h
@@ -11,7 +11,8 @@
 
 namespace peridotspool::request {
 
-/** Propose an operation to the ledger; its answer returns as an event. */
+/** Proposes an operation to the ledger; the result arrives as a
+ * LedgerAnsweredEvent. */
 struct ProposeEffect
 {
   CallId mCall;
@@ -19,16 +20,16 @@
   ledger::Operation mOperation;
 };
 
-/** Start an answer, after what `mPrefix` holds already. */
+/** Generates the answer, continuing after `mPrefix`. */
 struct GenerateMode
 {
-  /** Text that was delivered before, to be continued. */
+  /** The text generated so far, which the engine continues. */
   std::string mPrefix;
-  /** How many pieces the prefix was. */
+  /** Number of pieces in the prefix. */
   std::uint64_t mFromIndex = 0;
 };
 
-/** Go on with a stream that still lives at the engine. */
+/** Resumes a stream that still exists at the engine. */
 struct ResumeMode
 {
   std::uint64_t mFromIndex = 0;
@@ -36,13 +37,13 @@
 
 using UpstreamMode = std::variant<GenerateMode, ResumeMode>;
 
-/** Send the request to an upstream. */
+/** Sends the request to an upstream. */
 struct StartUpstreamEffect
 {
   CallId mCall;
   Address mAddress;
   routing::UpstreamKind mKind = routing::UpstreamKind::kModelEngine;
-  /** The request's name towards upstreams. */
+  /** The request's identifier in upstream calls. */
   std::string mRequest;
   AttemptNumber mAttempt;
   std::string mBody;
@@ -50,13 +51,13 @@
   UpstreamMode mMode;
 };
 
-/** Close the connection of an upstream call; no more of its events count. */
+/** Closes the connection of an upstream call; its later events are ignored. */
 struct DropUpstreamEffect
 {
   CallId mCall;
 };
 
-/** Tell the engine that an attempt is not wanted any more. */
+/** Notifies the upstream that an attempt is cancelled. */
 struct CancelUpstreamEffect
 {
   Address mAddress;
@@ -65,13 +66,13 @@
   AttemptNumber mAttempt;
 };
 
-/** The request is committed; the answer follows. */
+/** The request is accepted and committed; the answer follows. */
 struct AcceptedReply
 {
   RequestKey mKey;
 };
 
-/** More of the answer; mOffset is where it starts. */
+/** The next part of the answer, starting at byte `mOffset`. */
 struct PieceReply
 {
   AttemptNumber mLineage;
@@ -79,7 +80,7 @@
   std::string mText;
 };
 
-/** The answer begins anew: what the caller had of it does not count. */
+/** The answer restarts; the caller discards the text it received so far. */
 struct RestartReply
 {
   AttemptNumber mLineage;
@@ -93,23 +94,25 @@
   MemberId mExecutor;
 };
 
-/** The entry is leaving; attach again through another. */
+/** The entry is leaving, or its membership ended; the caller must attach
+ * through another entry. */
 struct MovedReply
 {};
 
-/** No request of that name is known. */
+/** The ledger holds no request with this key. */
 struct NoSuchRequestReply
 {};
 
-/** The entry could not learn whether the request is accepted. */
+/** The entry could not determine the state of the request, for example whether
+ * it is accepted. */
 struct StatusUnknownReply
 {};
 
-/** A cancel or an acknowledgement has been carried out. */
+/** A cancellation or an acknowledgement was committed. */
 struct ConfirmedReply
 {};
 
-/** The record that an operator asked for. */
+/** The record that an operator requested. */
 struct RecordReply
 {
   ledger::RequestRecord mRecord;
@@ -143,7 +146,7 @@
   std::uint64_t mAmount = 1;
 };
 
-/** Why an upstream was chosen, kept by the host for `explain`. */
+/** Why an upstream was chosen; the host stores it for `explain`. */
 struct ExplainEffect
 {
   RequestKey mKey;
--- a/include/peridotspool/request/EntryNode.h
+++ b/include/peridotspool/request/EntryNode.h
@@ -13,7 +13,7 @@
 
 class EntryNodeState;
 
-/** What an entry says of itself on its status page. */
+/** The state of an entry, as shown on its status page. */
 struct EntryNodeStatus
 {
   MemberId mMember;
@@ -27,12 +27,12 @@
 };
 
 /**
- * A whole entry: its session with the control replicas, the ledger, the router
- * and the requests. What `peridotspool-entryd` hosts.
+ * A complete entry: its session with the control replicas, the ledger, the
+ * router and the requests. `peridotspool-entryd` hosts one.
  *
- * It takes no new work before a quorum has confirmed its settings, and when
- * its membership is over it drops all that it held and joins again as a new
- * member. A pure step; not thread-safe.
+ * It accepts no new requests before a quorum has confirmed its settings. When
+ * its membership ends, it drops all its state and joins again as a new member.
+ * Performs no I/O; not thread-safe.
  */
 class EntryNode
 {
@@ -40,13 +40,15 @@
   EntryNode(EntryNodeOptions aOptions, TimePoint aNow);
   ~EntryNode();
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /** Handles one event and returns the effects that the host must carry out, in
+   * order. */
   EntryNodeEffects Step(const EntryNodeEvent& aEvent, TimePoint aNow);
 
-  /** The answer of `GET /v1/entries`. */
+  /** Returns the response to `GET /v1/entries`. */
   membership::DirectoryAnswer Directory(const Region& aRegion);
   EntryNodeStatus Status(TimePoint aNow) const;
-  /** The name of a member, for answers that tell who ran a request. */
+  /** Returns the name of a member, for responses that name the entry that ran a
+   * request. */
   EntryName NameOf(MemberId aMember) const;
 
 private:
--- a/include/peridotspool/request/EntryNodeEffect.h
+++ b/include/peridotspool/request/EntryNodeEffect.h
@@ -24,31 +24,33 @@
   FromMemberMessage mMessage;
 };
 
-/** Put these settings in force, then send SettingsAppliedEvent. */
+/** Applies these settings; the host then sends SettingsAppliedEvent. */
 struct ApplySettingsEffect
 {
   Revision mRevision;
   std::string mText;
 };
 
-/** The control log made this process a member. */
+/** The control log added this process as a member. */
 struct BecameMemberEffect
 {
   MemberId mMember;
 };
 
-/** A newer member list was taken. */
+/** A newer member list was adopted. */
 struct EpochAdoptedEffect
 {
   EpochNumber mEpoch;
   std::size_t mMembers = 0;
 };
 
-/** The membership is over; a new life begins by itself unless leaving. */
+/** The membership has ended. The entry starts a new incarnation by itself
+ * unless it is leaving. */
 struct LostMembershipEffect
 {};
 
-/** All is handed over: the process may stop. */
+/** The entry has left, or the time limit for leaving has passed; the process
+ * may stop. */
 struct LeftEffect
 {};
 
--- a/include/peridotspool/request/EntryNodeEvent.h
+++ b/include/peridotspool/request/EntryNodeEvent.h
@@ -10,26 +10,26 @@
 
 namespace peridotspool::request {
 
-/** What another entry sends. */
+/** A message from another entry. */
 using FromMemberMessage =
   std::variant<ledger::Message, RelayMessage, routing::UpstreamAnnouncement>;
 
 struct FromMemberEvent
 {
   MemberId mFrom;
-  /** The life of this entry that was meant. */
+  /** The member ID of the addressed incarnation of this entry. */
   MemberId mTo;
   FromMemberMessage mMessage;
 };
 
-/** A control replica sends to the life with this nonce. */
+/** A message from a control replica to the incarnation with this nonce. */
 struct FromControlReplicaEvent
 {
   membership::EntryNonce mTo;
   membership::ToEntryMessage mMessage;
 };
 
-/** A caller's event: submit, attach, cancel, acknowledge or gone. */
+/** An event of a caller: submit, attach, cancel, acknowledge, show or gone. */
 struct CallerEvent
 {
   std::variant<SubmitEvent,
@@ -41,26 +41,26 @@
     mEvent;
 };
 
-/** An upstream announced itself here. */
+/** An upstream announced itself to this entry. */
 struct AnnouncedEvent
 {
   routing::UpstreamAnnouncement mAnnouncement;
 };
 
-/** The host has put a revision of the settings in force. */
+/** The host has applied a revision of the settings. */
 struct SettingsAppliedEvent
 {
   Revision mRevision;
   std::shared_ptr<const settings::SettingsTree> mTree;
 };
 
-/** Peers that can't be reached now; replaces the earlier list. */
+/** The peers that are currently unreachable; replaces the previous list. */
 struct UnreachableEvent
 {
   std::vector<Address> mPeers;
 };
 
-/** SIGTERM or a reclaim notice: leave gracefully. */
+/** SIGTERM or a reclaim notice arrived; the entry must leave gracefully. */
 struct LeaveNodeEvent
 {};
 
--- a/include/peridotspool/request/EntryNodeOptions.h
+++ b/include/peridotspool/request/EntryNodeOptions.h
@@ -12,15 +12,16 @@
 
 struct EntryNodeOptions
 {
-  /** The nonce is made by the node from mRandomSeed for each life. */
+  /** The node generates the nonce of each incarnation from `mRandomSeed`. */
   membership::ControlSessionOptions mSession;
   membership::EntryDirectoryOptions mDirectory;
   ledger::LedgerOptions mLedger;
   RequestOptions mRequests;
   routing::RouterOptions mRouter;
-  /** From the system's random generator, given by the host. */
+  /** The host takes it from the system's random number generator. */
   std::uint64_t mRandomSeed = 1;
-  /** A leaving entry stops after this long, whatever it still holds. */
+  /** Bounds the time for leaving; afterwards the entry stops even if it still
+   * holds requests. */
   Duration mMaxLeaveTime = std::chrono::seconds(25);
 };
 
--- a/include/peridotspool/request/Event.h
+++ b/include/peridotspool/request/Event.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::request {
 
-/** A caller's new request, or the same one sent again. */
+/** A caller submits a request, or resubmits one with the same key. */
 struct SubmitEvent
 {
   CallId mExchange;
@@ -19,16 +19,17 @@
   ledger::RequestTerms mTerms;
   /** Time until the request's deadline. */
   Duration mRemaining{ 0 };
-  /** True iff the key was made just now, so that it can't be known. */
+  /** True iff the key was just generated, so the ledger can't know it. */
   bool mKeyIsNew = false;
 };
 
-/** A caller wants the answer of a request that it sent earlier. */
+/** A caller requests the answer of a request that it submitted earlier. */
 struct AttachEvent
 {
   CallId mExchange;
   RequestKey mKey;
-  /** What the caller has already: lineage and bytes. */
+  /** The part of the answer that the caller has: its lineage and its length in
+   * bytes, `mOffset`. */
   AttemptNumber mLineage;
   std::uint64_t mOffset = 0;
 };
@@ -39,21 +40,21 @@
   RequestKey mKey;
 };
 
-/** The caller has the whole answer; it need not be kept. */
+/** The caller has the complete answer, which need not be stored any longer. */
 struct AcknowledgeEvent
 {
   CallId mExchange;
   RequestKey mKey;
 };
 
-/** An operator wants to see the request's record. */
+/** An operator requests the record of a request. */
 struct ShowEvent
 {
   CallId mExchange;
   RequestKey mKey;
 };
 
-/** The caller's connection is gone; the request goes on. */
+/** The caller's connection is closed; the request continues to run. */
 struct CallerGoneEvent
 {
   CallId mExchange;
@@ -90,17 +91,18 @@
   membership::EpochMap mMap;
 };
 
-/** These settings are in force from now on. */
+/** These settings apply from now on. */
 struct SettingsEvent
 {
   std::shared_ptr<const settings::SettingsTree> mTree;
 };
 
-/** This entry is leaving: it hands over what can go on elsewhere. */
+/** This entry is leaving; it hands over the requests that another entry can
+ * continue. */
 struct DrainEvent
 {};
 
-/** This entry's membership is over: all that it ran is others' now. */
+/** This entry's membership has ended; other entries own the requests it ran. */
 struct AbandonEvent
 {};
 
--- a/include/peridotspool/request/RelayMessage.h
+++ b/include/peridotspool/request/RelayMessage.h
@@ -13,7 +13,7 @@
 
 namespace peridotspool::request {
 
-/** Asks a request's executor for its answer from an offset on. */
+/** Requests a request's answer from its executor, starting at an offset. */
 struct FollowMessage
 {
   RequestKey mKey;
@@ -24,7 +24,7 @@
 };
 BOOST_DESCRIBE_STRUCT(FollowMessage, (), (mKey, mLineage, mOffset))
 
-/** A piece of the answer that starts at mOffset bytes. */
+/** A piece of the answer, starting at byte `mOffset`. */
 struct PieceMessage
 {
   RequestKey mKey;
@@ -46,7 +46,8 @@
 };
 BOOST_DESCRIBE_STRUCT(EndedMessage, (), (mKey, mOutcome))
 
-/** The asked entry does not run this request; look at the ledger again. */
+/** The sender does not run this request; the receiver must read the ledger
+ * again. */
 struct NotExecutorMessage
 {
   RequestKey mKey;
@@ -55,7 +56,7 @@
 };
 BOOST_DESCRIBE_STRUCT(NotExecutorMessage, (), (mKey))
 
-/** A leaving executor asks another entry to take a request over. */
+/** A leaving executor requests that another entry take over a request. */
 struct HandOverMessage
 {
   RequestKey mKey;
@@ -65,7 +66,7 @@
 };
 BOOST_DESCRIBE_STRUCT(HandOverMessage, (), (mKey, mExecutorTurn))
 
-/** Another entry has become the executor; the earlier one stops. */
+/** The sender has become the executor; the previous executor must stop. */
 struct TakenOverMessage
 {
   RequestKey mKey;
@@ -75,7 +76,8 @@
 };
 BOOST_DESCRIBE_STRUCT(TakenOverMessage, (), (mKey, mExecutorTurn))
 
-/** What an entry's callers asked of a service lately, requests a second. */
+/** The recent demand of an entry's callers on a service, in requests per
+ * second. */
 struct DemandMessage
 {
   ServiceName mService;
--- a/include/peridotspool/request/RequestManager.h
+++ b/include/peridotspool/request/RequestManager.h
@@ -14,12 +14,12 @@
 class RequestManagerState;
 
 /**
- * The lives of the requests that an entry takes part in: those that it runs
- * (as executor) and those whose answers it passes on from another executor.
+ * Manages the requests that an entry takes part in: those that it runs as the
+ * executor, and those whose answers it relays from another executor.
  *
- * It joins the ledger and the router: every step that must survive is proposed
- * to the ledger first, and upstreams are chosen by the router, which must
- * outlive it. A pure step; not thread-safe.
+ * Every state change that must survive the loss of the entry is proposed to the
+ * ledger first. The router chooses the upstreams; it must outlive this object.
+ * Performs no I/O; not thread-safe.
  */
 class RequestManager
 {
@@ -29,12 +29,13 @@
                  routing::Router& aRouter);
   ~RequestManager();
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /** Handles one event and returns the effects that the host must carry out, in
+   * order. */
   Effects Step(const Event& aEvent, TimePoint aNow);
 
-  /** Requests that this entry runs now. */
+  /** Returns the number of requests that this entry runs. */
   std::size_t Running() const;
-  /** Callers that wait for an answer here. */
+  /** Returns the number of callers that wait for an answer at this entry. */
   std::size_t Callers() const;
 
 private:
--- a/include/peridotspool/request/RequestOptions.h
+++ b/include/peridotspool/request/RequestOptions.h
@@ -6,21 +6,22 @@
 
 namespace peridotspool::request {
 
-/** Bounds and times of the request path. */
+/** Bounds and intervals of request handling. */
 struct RequestOptions
 {
-  /** Most tries at upstreams by one executor. */
+  /** Maximum number of upstream attempts by one executor. */
   std::uint32_t mMaxAttempts = 6;
-  /** First pause before a retry; doubles with each one, with full jitter. */
+  /** Delay before the first retry; doubles each time, with full jitter. */
   Duration mRetryPause = std::chrono::milliseconds(40);
   Duration mMaxRetryPause = std::chrono::seconds(2);
-  /** Longest wait for an upstream while none can be chosen. */
+  /** Bounds the wait for an upstream while none can be chosen. */
   Duration mMaxQueueWait = std::chrono::seconds(3);
-  /** How often a follower asks its executor again when nothing comes. */
+  /** Interval at which a following entry queries a silent executor again. */
   Duration mFollowRetryInterval = std::chrono::milliseconds(700);
-  /** When a caller that was refused should come back. */
+  /** Time after which a refused caller should retry. */
   Duration mRetryAfter = std::chrono::seconds(1);
-  /** How long an outcome is proposed again after its deadline. */
+  /** How long after the deadline an outcome is still proposed to the ledger
+   * again. */
   Duration mFinishGrace = std::chrono::seconds(30);
   std::uint64_t mRandomSeed = 1;
 };
--- a/include/peridotspool/request/Tally.h
+++ b/include/peridotspool/request/Tally.h
@@ -4,7 +4,7 @@
 
 namespace peridotspool::request {
 
-/** What the request path counts; each becomes a counter of /metrics. */
+/** The events that request handling counts; each is a counter of /metrics. */
 enum class Tally
 {
   kAccepted,
--- a/include/peridotspool/request/UpstreamEvent.h
+++ b/include/peridotspool/request/UpstreamEvent.h
@@ -9,13 +9,13 @@
 
 namespace peridotspool::request {
 
-/** A piece of an answer, with the request and attempt that the upstream says
- * it belongs to. */
+/** A piece of an answer, with the request and the attempt that the upstream
+ * reports it for. */
 struct UpstreamPiece
 {
   std::string mRequest;
   AttemptNumber mAttempt;
-  /** Place of the piece in the answer, from 0. */
+  /** Index of the piece in the answer, from 0. */
   std::uint64_t mIndex = 0;
   std::string mText;
 };
@@ -25,30 +25,31 @@
 {
   std::string mRequest;
   AttemptNumber mAttempt;
-  /** A plain service's whole result; empty from an engine that streamed. */
+  /** A plain service's complete result; empty for an engine, which streams its
+   * result. */
   std::string mResult;
   std::uint64_t mTokens = 0;
   std::uint64_t mCachedTokens = 0;
-  /** Tokens that had to be computed a second time. */
+  /** Number of tokens that were computed a second time. */
   std::uint64_t mRecomputedTokens = 0;
 };
 
-/** The upstream turned the request down. */
+/** The upstream refused the request. */
 struct UpstreamRefused
 {
   std::uint32_t mStatus = 0;
-  /** True iff the upstream said that nothing of it ran. */
+  /** True iff the upstream reported that it ran no part of the request. */
   bool mDidNotRun = false;
-  /** True iff a resume was asked for and the stream is not there any more. */
+  /** True iff a resume was requested and the stream no longer exists. */
   bool mNoSuchStream = false;
   Duration mRetryAfter{ 0 };
 };
 
-/** The connection ended or went silent before the answer was complete. */
+/** The connection ended or timed out before the answer was complete. */
 struct UpstreamBroken
 {
   std::string mReason;
-  /** False proves that no byte of the request was written. */
+  /** False only if no byte of the request was written. */
   bool mMayHaveRun = true;
   bool mTimedOut = false;
 };
--- a/src/request/AdmissionController.cpp
+++ b/src/request/AdmissionController.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/** Entries together let this many times the upstreams' slots go on: callers
- * are never spread quite evenly, and an engine batches a little beyond. */
+/** All entries together admit this many requests per upstream slot: callers are
+ * never spread evenly over the entries, and an engine batches slightly more
+ * requests than it has slots. */
 constexpr std::size_t kMaxRunningPerSlot = 2;
 
-/** Stands for all services of a customer; no service can have this name. */
+/** Stands for all services of a customer; not a valid service name. */
 const ServiceName&
 TotalName()
 {
@@ -51,7 +52,7 @@
   if (isNew) {
     place->second.mAdmission.SetMembers(mMembers);
     if (aService == TotalName()) {
-      // Totals only bound; the queues are the services' own.
+      // Totals only apply limits; requests queue per service.
       place->second.mAdmission.SetMaxRunning(
         std::numeric_limits<std::size_t>::max());
     }
@@ -74,7 +75,7 @@
   if (total && (!mTree || mTree->Services().empty())) {
     return std::nullopt;
   }
-  // A customer's total is the same whichever of its services is asked.
+  // A customer's total is the same for each of its services.
   const auto* rules =
     Rules(aCustomer, total ? mTree->Services().front() : aService);
   if (rules == nullptr) {
--- a/src/request/AdmissionController.h
+++ b/src/request/AdmissionController.h
@@ -16,10 +16,9 @@
 namespace peridotspool::request {
 
 /**
- * Applies the settings to this entry's requests, service by service: who is
- * admitted now, who waits, who is refused, and who is tried again. Without
- * settings everybody is admitted and the options' bounds hold. Not
- * thread-safe.
+ * Applies the settings to this entry's requests, per service: decides which are
+ * admitted, queued, refused or retried. Without settings every request is
+ * admitted and the bounds of RequestOptions apply. Not thread-safe.
  */
 class AdmissionController
 {
@@ -30,26 +29,29 @@
 
   void SetSettings(Tree aTree) { mTree = std::move(aTree); }
   void SetMembers(std::vector<MemberId> aMembers);
-  /** Sets how many may run at once from the upstreams in sight. */
+  /** Sets each service's concurrency limit from the slots of the known
+   * upstreams. */
   void SetUpstreams(
     const std::vector<routing::UpstreamAnnouncement>& aUpstreams);
 
   routing::AdmissionOutcome Admit(const ServiceName& aService,
                                   const routing::AdmissionQuery& aQuery,
                                   TimePoint aNow);
-  /** An admitted request has ended. */
+  /** Records that an admitted request has ended. */
   void RecordEnd(const ServiceName& aService,
                  const CustomerName& aCustomer,
                  Duration aTook);
-  /** A request whose turn has come, and its service. */
+  /** A queued request that may start now, and its service. */
   struct ReadyRequest
   {
     ServiceName mService;
     routing::QueuedRequest mRequest;
   };
-  /** Takes the requests whose turn has come; each counts as running. */
+  /** Removes and returns the queued requests that may start now; each counts as
+   * running. */
   std::vector<ReadyRequest> TakeReady();
-  /** Takes queued requests that can't meet their deadline any more. */
+  /** Removes and returns the queued requests that can no longer meet their
+   * deadline. */
   std::vector<routing::QueuedRequest> TakeExpired(TimePoint aNow);
 
   void CountFirstTry(const ServiceName& aService);
@@ -58,14 +60,15 @@
                                      const routing::FailedTry& aTry,
                                      TimePoint aNow);
 
-  /** What callers asked for lately, for the other entries. */
+  /** Returns the recent demand at this entry, for the other entries. */
   std::map<ServiceName, std::map<CustomerName, double>> Demand(TimePoint aNow);
   void RecordDemand(MemberId aFrom,
                     const ServiceName& aService,
                     const std::map<CustomerName, double>& aDemand,
                     TimePoint aNow);
 
-  /** What holds for a customer's use of a service; null without settings. */
+  /** Returns the settings that apply to a customer's use of a service, or null
+   * without settings. */
   const settings::EffectiveService* Rules(const CustomerName& aCustomer,
                                           const ServiceName& aService) const;
 
@@ -80,7 +83,8 @@
   };
 
   Service& At(const ServiceName& aService);
-  /** As Rules, or the customer's total over all its services. */
+  /** As Rules; for the name of the total, returns the customer's limits over
+   * all its services. */
   std::optional<settings::EffectiveService> RulesOrTotal(
     const CustomerName& aCustomer,
     const ServiceName& aService) const;
--- a/src/request/AdmissionSteps.cpp
+++ b/src/request/AdmissionSteps.cpp
@@ -1,5 +1,5 @@
-// The part of the request manager that asks who may go on: limits, fair share
-// and queues are routing::Admission's; this carries its verdicts out.
+// The admission steps of the request manager. routing::Admission implements
+// limits, fair shares and queues; this file carries out its decisions.
 
 #include "peridotspool/base/Overloaded.h"
 #include "request/RequestManagerState.h"
@@ -10,10 +10,11 @@
 
 constexpr std::int32_t kStatusTooManyRequests = 429;
 constexpr std::int32_t kStatusUnavailable = 503;
-/** How often queues are looked through and upstreams' slots are counted. */
+/** Interval of checking the queues and counting the upstreams' slots. */
 constexpr Duration kAdmissionTickInterval = std::chrono::milliseconds(100);
-/** An entry tells each other of its demand this often at most. With many
- * entries less often, so that the bytes for it stay the same. */
+/** Minimum interval at which an entry sends its demand to every other entry.
+ * The interval grows with the number of entries, so that the traffic per entry
+ * stays constant. */
 constexpr Duration kDemandPeriod = std::chrono::seconds(1);
 constexpr Duration kDemandPeriodPerMember = std::chrono::milliseconds(50);
 
@@ -119,7 +120,8 @@
     if (waits) {
       StartAdmitted(queued.mKey);
     } else {
-      // It was cancelled or lost its turn while it waited.
+      // The request was cancelled, or another executor took it over, while it
+      // was queued.
       mAdmission.RecordEnd(service, queued.mKey.mCustomer, Duration(0));
     }
   }
--- a/src/request/Answer.h
+++ b/src/request/Answer.h
@@ -8,10 +8,11 @@
 
 namespace peridotspool::request {
 
-/** As much of a request's answer as this entry holds. */
+/** The part of a request's answer that this entry holds. */
 struct Answer
 {
-  /** The attempt at which the text began from nothing; none while empty. */
+  /** The attempt that started the text from its beginning; unset while the text
+   * is empty. */
   AttemptNumber mLineage;
   std::string mText;
   /** Set once the outcome is committed. */
@@ -19,7 +20,7 @@
   MemberId mExecutor;
 };
 
-/** Returns the answer that a committed outcome holds, whole. */
+/** Returns the complete answer of a committed outcome. */
 Answer
 MakeAnswer(const ledger::Outcome& aOutcome, MemberId aExecutor);
 
--- a/src/request/AnswerSubscribers.cpp
+++ b/src/request/AnswerSubscribers.cpp
@@ -11,7 +11,7 @@
             AttemptNumber aLineage,
             Effects& aEffects)
 {
-  // Another entry sees a new lineage in the next piece itself.
+  // Another entry learns the new lineage from the next piece.
   if (const CallId* exchange = std::get_if<CallId>(&aSubscriber)) {
     aEffects.emplace_back(ReplyEffect{ *exchange, RestartReply{ aLineage } });
   }
--- a/src/request/AnswerSubscribers.h
+++ b/src/request/AnswerSubscribers.h
@@ -11,10 +11,11 @@
 
 namespace peridotspool::request {
 
-/** Who gets an answer: a caller's exchange here, or another entry. */
+/** A recipient of an answer: a caller's exchange at this entry, or another
+ * entry. */
 using AnswerSubscriber = std::variant<CallId, MemberId>;
 
-/** How much of an answer a subscriber has. */
+/** The part of an answer that a subscriber has. */
 struct SubscriberPosition
 {
   AttemptNumber mLineage;
@@ -22,31 +23,31 @@
 };
 
 /**
- * The listeners of one request's answer. Each gets every byte once and in
- * order, whenever it joined; one whose text began at another attempt is told
- * to begin anew, so that halves of two answers never meet.
+ * The subscribers of one request's answer. Each receives every byte once and in
+ * order, whenever it subscribed. A subscriber whose text is of another lineage
+ * restarts from the beginning, so that parts of two answers are never joined.
  */
 class AnswerSubscribers
 {
 public:
-  /** Adds a subscriber, or moves one that asks again to the place it names. */
+  /** Adds a subscriber, or sets the position of one that subscribes again. */
   void Add(const AnswerSubscriber& aSubscriber,
            const SubscriberPosition& aPosition);
-  /** Returns true iff the caller was there. */
+  /** Returns true iff the caller was a subscriber. */
   bool Remove(CallId aExchange);
-  /** Lets all callers go and returns them. */
+  /** Removes and returns all callers. */
   std::vector<CallId> RemoveCallers();
   bool Empty() const { return mPositions.empty(); }
 
   /**
-   * Appends what each subscriber lacks of the answer. When the outcome is
-   * known it follows the text, and the listeners are let go.
+   * Sends each subscriber the part of the answer that it lacks. Once the
+   * outcome is known, sends it after the text and removes all subscribers.
    */
   void Publish(const RequestKey& aKey,
                const Answer& aAnswer,
                Effects& aEffects);
 
-  /** Tells all callers to attach elsewhere, and lets them go. */
+  /** Replies MovedReply to all callers and removes them. */
   void RedirectCallers(Effects& aEffects);
 
 private:
--- a/src/request/EntryCallers.cpp
+++ b/src/request/EntryCallers.cpp
@@ -1,4 +1,4 @@
-// What an entry does with its callers' events, by whether it may serve.
+// Handles the callers' events according to whether this entry may serve.
 
 #include "request/EntryNodeState.h"
 
@@ -33,8 +33,8 @@
     ReplyTo(aEvent.mExchange, MovedReply{});
     return;
   }
-  // An entry cut off from the control replicas may work by old settings; the
-  // caller is sent to another one at once.
+  // An entry without contact to the control replicas may have outdated
+  // settings, so the caller is sent to another entry at once.
   mEffects->emplace_back(CountEffect{ Tally::kRefusedNotConfirmed });
   ReplyTo(aEvent.mExchange, StatusUnknownReply{});
 }
--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -31,8 +31,8 @@
 void
 EntryNodeState::StartIncarnation()
 {
-  // Each life has a nonce of its own, so that messages to an earlier one, and
-  // the ledger copies that it lost, are never taken for this one's.
+  // Each incarnation has its own nonce, so that messages to an earlier one, and
+  // the ledger copies which that one lost, are never attributed to this one.
   mNonce = membership::EntryNonce(mRandom() | 1);
   membership::ControlSessionOptions session = mOptions.mSession;
   session.mNonce = mNonce;
@@ -47,8 +47,8 @@
 void
 EntryNodeState::On(const FromMemberEvent& aEvent)
 {
-  // A message for an earlier life of this process would be acted upon by one
-  // that never held what the message is about.
+  // Ignores messages to an earlier incarnation of this process: this one never
+  // held the state that they refer to.
   if (!mSelf.IsSet() || aEvent.mTo != mSelf) {
     return;
   }
@@ -156,9 +156,9 @@
   mRequests.emplace(mSelf, mOptions.mRequests, mRouter);
   StepRequests(SettingsEvent{ mTree });
   mEffects->emplace_back(BecameMemberEffect{ mSelf });
-  // The member list may come before the answer that gives us our id. A ledger
-  // that never heard of the list answers no query of its peers: each shard that
-  // this entry is in would stand still until the next epoch, unless it is told.
+  // The member list may arrive before the response with this entry's member ID.
+  // A ledger without the list answers no query of its peers, so every shard
+  // with this entry as a replica would stall until the next epoch.
   if (mSession->Epoch().mEpoch.IsSet()) {
     DistributeMembers(mSession->Epoch());
   }
@@ -167,8 +167,9 @@
 void
 EntryNodeState::Perform(const membership::RemovedEffect& /*aEffect*/)
 {
-  // Others have taken over what this life held. Its callers are told to attach
-  // elsewhere; nothing of the old life may go on beside its successor.
+  // Other entries have taken over the state of this incarnation. Its callers
+  // must attach elsewhere, and none of its requests may continue here while its
+  // successor runs them.
   StepRequests(AbandonEvent{});
   mEffects->emplace_back(LostMembershipEffect{});
   if (mLeaving) {
@@ -207,7 +208,8 @@
     self != mMembers.end() &&
     self->second.mState == membership::MemberState::kDraining;
   if (draining && !mDrainStarted) {
-    // Only now do others know that no new work may come here.
+    // The handover starts only now because the other entries learn from this
+    // epoch that this entry accepts no new requests.
     mDrainStarted = true;
     StepRequests(DrainEvent{});
   }
@@ -299,8 +301,8 @@
   if (!mLeaving || mDepartureComplete) {
     return;
   }
-  // When every entry leaves, as in a planned stop of the whole system, nobody
-  // is left to take the ledger's copies: only the work is waited for.
+  // When every entry leaves, as in a planned stop of the system, no entry is
+  // left to receive the ledger's copies; only running requests are waited for.
   const bool handedOver =
     mDrainStarted && mRequests->Running() == 0 && mRequests->Callers() == 0 &&
     (mLedger->Counters().mHeldShards == 0 || !AnyActiveMember());
@@ -331,7 +333,8 @@
   for (const auto& [id, member] : mMembers) {
     members.push_back(id);
   }
-  // A report to every entry would grow with entries times upstreams.
+  // Reporting to every entry would cost messages in proportion to the number of
+  // entries times the number of upstreams.
   for (const MemberId target :
        routing::SpreadTargets(aAnnouncement.mName, members)) {
     if (target != mSelf) {
--- a/src/request/EntryNodeState.h
+++ b/src/request/EntryNodeState.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::request {
 
-/** The state and the steps behind EntryNode. */
+/** Implements EntryNode. */
 class EntryNodeState
 {
 public:
@@ -41,7 +41,8 @@
   void OnCaller(const ShowEvent& aEvent);
   void OnCaller(const CallerGoneEvent& aEvent);
 
-  /** Passes an event on, or answers it while this entry is no member. */
+  /** Forwards an event to the request manager, or replies StatusUnknownReply
+   * while this entry is not a member. */
   template<typename CallerRequest>
   void ForwardOrReject(const CallerRequest& aEvent);
 
@@ -53,7 +54,7 @@
   void Perform(const membership::NewSettingsEffect& aEffect);
   void Perform(const membership::NewEpochEffect& aEffect);
 
-  /** Tells the parts that hold requests who the members are. */
+  /** Passes the member list to the ledger and the request manager. */
   void DistributeMembers(const membership::EpochMap& aMap);
   void StepLedger(const ledger::Event& aEvent);
   void Perform(const ledger::SendEffect& aEffect);
@@ -73,7 +74,7 @@
   void ForwardAnnouncement(const routing::UpstreamAnnouncement& aAnnouncement);
   void SendToMember(MemberId aTo, FromMemberMessage aMessage);
   void ReplyTo(CallId aExchange, Reply aReply);
-  /** Returns true iff this entry may begin new work now. */
+  /** Returns true iff this entry may accept new requests now. */
   bool MayServe() const;
 
   EntryNodeOptions mOptions;
@@ -93,7 +94,7 @@
   bool mDepartureComplete = false;
   TimePoint mLeaveDeadline = TimePoint::max();
 
-  // Valid during one step only.
+  // Valid only during a step.
   TimePoint mNow;
   EntryNodeEffects* mEffects = nullptr;
 };
--- a/src/request/Execution.cpp
+++ b/src/request/Execution.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-/** Attempts of one executor turn; a later turn's numbers never meet them. */
+/** Size of the range of attempt numbers of one executor turn; the numbers of
+ * different turns never overlap. */
 constexpr std::uint64_t kMaxAttemptsPerTurn = 1000;
-/** A queued request looks for an upstream again after this long. */
+/** Interval at which a queued request tries to choose an upstream again. */
 constexpr Duration kQueuePollInterval = std::chrono::milliseconds(25);
 
 constexpr std::int32_t kStatusUnavailable = 503;
@@ -135,8 +136,8 @@
     return true;
   }
   if (!mRecord.mTerms.mIdempotent) {
-    // The earlier executor may have sent it and the upstream that would know
-    // can't be asked: sending it again could run it twice.
+    // The previous executor may have sent the request, and its upstream can't
+    // be queried for the result; sending it again could run it twice.
     GiveUp(aContext, MakeLostOutcome("executor-lost"));
     return true;
   }
@@ -198,7 +199,8 @@
 void
 Execution::OnNoRoute(StepContext& aContext, routing::NoRoute aWhy)
 {
-  // Upstreams that failed this request once are better than none at all.
+  // No other upstream is available, so those that failed this request before
+  // may be chosen again.
   mAvoid.clear();
   const TimePoint giveUpAt = mQueuedSince + aContext.mOptions.mMaxQueueWait;
   const bool cannotSucceed = aWhy == routing::NoRoute::kDeadlineTooNear ||
@@ -228,9 +230,10 @@
              .mFromIndex = mNextIndex };
   aContext.mEffects.emplace_back(
     ExplainEffect{ mRecord.mKey, mAttempt->mNumber, aChoice });
-  // A request that may run again is sent while its intent is being committed:
-  // losing the intent costs a recomputation, waiting for it costs every first
-  // token a round trip. One that may not is sent only after the commit.
+  // An idempotent request is sent while its intent is being committed: losing
+  // the intent costs a recomputation, but waiting for it would delay every
+  // first token by a round trip. Any other request is sent only after the
+  // commit.
   const bool once = !mRecord.mTerms.mIdempotent;
   mStateMachine->Apply(once ? ExecutionEvent::kIntend
                             : ExecutionEvent::kDispatch);
--- a/src/request/Execution.h
+++ b/src/request/Execution.h
@@ -14,7 +14,7 @@
 
 class ExecutionStateMachine;
 
-/** Why this entry became the executor. */
+/** How this entry became the executor. */
 enum class ExecutionOrigin
 {
   kAccepted,
@@ -22,9 +22,10 @@
 };
 
 /**
- * One request at its executor: chooses upstreams, keeps the text that came,
- * retries within the rules for requests that may not run twice, and proposes
- * the outcome. It works under one executor turn and stops when that is lost.
+ * Runs one request at its executor: chooses upstreams, collects the answer's
+ * text, retries without running a non-idempotent request twice, and proposes
+ * the outcome. It belongs to one executor turn, the number that fences
+ * executors, and stops when another executor takes over.
  */
 class Execution
 {
@@ -32,39 +33,41 @@
   Execution(const ledger::RequestRecord& aRecord, TimePoint aDeadline);
   ~Execution();
 
-  /** Begins, after an accept that was admitted, or a takeover, is committed. */
+  /** Starts the request, once its acceptance is committed and it is admitted,
+   * or once a takeover is committed. */
   void Start(StepContext& aContext, ExecutionOrigin aWhy);
-  /** Waits for its turn; Start follows, or the deadline. */
+  /** Queues the request until Start is called or the deadline passes. */
   void Wait(StepContext& aContext);
-  /** Ends it before anything was sent. */
+  /** Ends the request with a refusal before it is sent to an upstream. */
   void Refuse(StepContext& aContext, Tally aWhy, ledger::Outcome aOutcome);
-  /** Takes the ledger's answer to one of this execution's proposals. */
+  /** Handles the ledger's answer to a proposal of this execution. */
   void OnLedgerAnswer(StepContext& aContext,
                       CallId aCall,
                       const ledger::OperationAnswer& aAnswer);
   void OnUpstream(StepContext& aContext, const UpstreamEvent& aEvent);
-  /** Does what is due by time; see NextWake. */
+  /** Performs the work that is due now; see NextWake. */
   void OnTick(StepContext& aContext);
-  /** The outcome was committed by someone else, for example a cancel. */
+  /** Handles an outcome that this execution did not commit, for example a
+   * cancellation. */
   void OnOutcome(StepContext& aContext, const ledger::Outcome& aOutcome);
-  /** Another entry has become the executor. */
+  /** Handles the loss of the executor turn to another entry. */
   void OnTurnLost(StepContext& aContext);
 
   const Answer& CurrentAnswer() const { return mAnswer; }
   const ledger::RequestRecord& Record() const { return mRecord; }
   TimePoint Deadline() const { return mDeadline; }
-  /** When OnTick has something to do; never later than the deadline. */
+  /** Returns when OnTick must be called next; never later than the deadline. */
   TimePoint NextWake() const { return mWake; }
   bool Ended() const;
-  /** Returns true iff another entry could go on with the upstream's stream. */
+  /** Returns true iff another entry could resume the upstream's stream. */
   bool CanHandOver() const;
-  /** Returns true iff the ended execution lost its turn. */
+  /** Returns true iff the execution ended because another entry took over. */
   bool LostTurn() const { return mLostTurn; }
-  /** The upstream call under way; unset if there is none. */
+  /** Returns the current upstream call; unset if there is none. */
   CallId UpstreamCall() const { return mUpstreamCall; }
 
 private:
-  /** The attempt at an upstream that is under way or was the last. */
+  /** The current or most recent attempt at an upstream. */
   struct Attempt
   {
     AttemptNumber mNumber;
@@ -112,7 +115,8 @@
                     const ledger::OperationAnswer& aAnswer);
   void OnFinishAnswer(StepContext& aContext,
                       const ledger::OperationAnswer& aAnswer);
-  /** Handles verdicts that end this execution; false if it goes on. */
+  /** Handles the verdicts that end this execution; returns false if it
+   * continues. */
   bool HandleFinalVerdict(StepContext& aContext,
                           const ledger::OperationAnswer& aAnswer);
 
@@ -120,28 +124,29 @@
   void StopUpstream(StepContext& aContext, bool aCancelAttempt);
   void WakeAt(TimePoint aTime);
   std::string UpstreamRequestName() const;
-  /** Returns true iff some upstream may have begun to run the request. */
+  /** Returns true iff an upstream may have started to run the request. */
   bool MayHaveRun() const { return mMayHaveRun; }
 
   ledger::RequestRecord mRecord;
   TimePoint mDeadline;
   std::unique_ptr<ExecutionStateMachine> mStateMachine;
   Answer mAnswer;
-  /** Index of the next piece that counts. */
+  /** Index of the next expected piece. */
   std::uint64_t mNextIndex = 0;
   std::uint32_t mAttempts = 0;
   std::optional<Attempt> mAttempt;
   std::vector<UpstreamName> mAvoid;
   std::vector<std::uint64_t> mPromptBlocks;
-  /** False while it waits to be admitted. */
+  /** False until the request is admitted. */
   bool mAdmitted = false;
   CallId mUpstreamCall;
   CallId mProposal;
-  /** True iff a retry's cause was that an upstream was lost. */
+  /** True once an attempt failed because the connection to its upstream was
+   * lost. */
   bool mAfterLoss = false;
   bool mAfterTakeover = false;
   bool mMayHaveRun = false;
-  /** What mMayHaveRun was before the last attempt. */
+  /** The value of `mMayHaveRun` before the last attempt. */
   bool mMayHaveRunBefore = false;
   bool mLostTurn = false;
   std::optional<ledger::Outcome> mPendingOutcome;
--- a/src/request/ExecutionEnd.cpp
+++ b/src/request/ExecutionEnd.cpp
@@ -1,4 +1,4 @@
-// How an execution tries again, and how it gives up.
+// Retries and final failures of an execution.
 
 #include "request/Execution.h"
 #include "request/ExecutionStateMachine.h"
@@ -24,7 +24,8 @@
     RetryLater(aContext, aWhy);
     return;
   }
-  // Its committed intent still forbids a second one on every replica.
+  // The committed intent forbids another attempt on every replica until it is
+  // voided.
   mStateMachine->Apply(ExecutionEvent::kMustVoid);
   aContext.Count(aWhy);
   Propose(aContext,
@@ -93,7 +94,8 @@
                        std::int32_t aStatus,
                        std::string aReason) const
 {
-  // Only a request that no upstream can have begun is said not to have run.
+  // An outcome is kRefused, which guarantees that the request did not run, only
+  // if no upstream can have started it.
   return ledger::Outcome{ .mKind = MayHaveRun() ? ledger::OutcomeKind::kFailed
                                                 : ledger::OutcomeKind::kRefused,
                           .mStatus = aStatus,
@@ -120,7 +122,7 @@
 Execution::GiveUpOnDeadline(StepContext& aContext)
 {
   if (mStateMachine->State() == ExecutionState::kIntending) {
-    // The intent may be committed already; its answer decides.
+    // The intent may be committed already; the ledger's answer decides.
     return;
   }
   if (!MayHaveRun()) {
--- a/src/request/ExecutionLedger.cpp
+++ b/src/request/ExecutionLedger.cpp
@@ -1,4 +1,4 @@
-// What an execution proposes to the ledger, and does with its answers.
+// An execution's proposals to the ledger, and the handling of its answers.
 
 #include "peridotspool/base/Invariant.h"
 #include "request/Execution.h"
@@ -44,7 +44,8 @@
       OnFinishAnswer(aContext, aAnswer);
       break;
     default:
-      // The answer to an intent that was not waited for.
+      // The answer to the intent of an idempotent request, which is sent
+      // without waiting for it.
       break;
   }
 }
@@ -75,8 +76,8 @@
     return;
   }
   if (aAnswer.mVerdict != ledger::Verdict::kDone) {
-    // Without an answer the intent may or may not stand; sending now could be
-    // a second run after another executor's first.
+    // The intent may or may not be committed; sending the request now could run
+    // it a second time, after another executor's attempt.
     Propose(aContext,
             ledger::IntendOperation{
               .mExecutorTurn = mRecord.mExecutorTurn,
@@ -99,8 +100,8 @@
 void
 Execution::RecordIntent(const ledger::OperationAnswer& aAnswer)
 {
-  // The ledger leaves the terms out of its answers to what an executor, which
-  // has them, proposes; only the intent is news.
+  // The ledger omits the terms from its answers to an executor, which has them,
+  // so only the intent is copied from the record.
   if (aAnswer.mRecord) {
     mRecord.mIntent = aAnswer.mRecord->mIntent;
     mRecord.mIntentVoid = aAnswer.mRecord->mIntentVoid;
@@ -138,8 +139,8 @@
     mPendingOutcome = MakeLostOutcome("may-have-run");
   }
   if (aContext.mNow > mDeadline + aContext.mOptions.mFinishGrace) {
-    // The ledger can't be reached for good: the callers are told at least
-    // that nothing sure is known.
+    // The ledger stayed unreachable for the whole grace period. The callers
+    // receive at least an outcome that says the result is not known.
     mAnswer.mOutcome = MakeLostOutcome("ledger-lost");
     mStateMachine->Apply(ExecutionEvent::kFinishCommitted);
     return;
@@ -194,8 +195,8 @@
   }
   mLostTurn = true;
   aContext.Count(Tally::kTurnLost);
-  // The engine's stream belongs to the next executor now: only the connection
-  // is closed, the stream is not cancelled.
+  // The next executor now owns the engine's stream, so the connection is closed
+  // but the stream is not cancelled.
   StopUpstream(aContext, false);
 }
 
--- a/src/request/ExecutionState.h
+++ b/src/request/ExecutionState.h
@@ -2,20 +2,20 @@
 
 namespace peridotspool::request {
 
-/** Where a request stands at its executor. */
+/** The state of a request at its executor. */
 enum class ExecutionState
 {
-  /** Waits for an upstream, or for a retry's pause to pass. */
+  /** Waits for admission, for an upstream, or for the delay before a retry. */
   kQueued,
-  /** Waits until the right to send it once is committed. */
+  /** Waits for the commit of the intent to send it. */
   kIntending,
-  /** Sent; nothing has come back. */
+  /** Sent; no piece of the answer has arrived. */
   kDispatched,
-  /** Pieces of the answer come. */
+  /** Receives pieces of the answer. */
   kStreaming,
-  /** Waits until it is committed that the last attempt did not run. */
+  /** Waits for the commit that the last attempt did not run. */
   kVoiding,
-  /** Waits until its outcome is committed. */
+  /** Waits for the commit of its outcome. */
   kFinishing,
   kEnded,
 };
--- a/src/request/ExecutionStateMachine.h
+++ b/src/request/ExecutionStateMachine.h
@@ -6,7 +6,7 @@
 
 namespace peridotspool::request {
 
-/** What can happen to a request at its executor; see ExecutionMachine.h. */
+/** The events of a request at its executor; see ExecutionTransitions.h. */
 enum class ExecutionEvent
 {
   kDispatch,
@@ -20,7 +20,8 @@
   kTurnLost,
 };
 
-/** The state machine of one request's life, apart from its heavy headers. */
+/** The state machine of one execution; hides the Boost.MSM headers, which are
+ * slow to compile. */
 class ExecutionStateMachine
 {
 public:
@@ -28,7 +29,8 @@
   ~ExecutionStateMachine();
 
   ExecutionState State() const;
-  /** Returns true iff the event is legal now; the state has then changed. */
+  /** Applies an event and returns true, or returns false and keeps the state if
+   * the event is illegal in it. */
   bool Apply(ExecutionEvent aEvent);
 
 private:
--- a/src/request/ExecutionTransitions.h
+++ b/src/request/ExecutionTransitions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Heavy: include from one source only.
+// Slow to compile: include from one source file only.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
 #define BOOST_MPL_LIMIT_MAP_SIZE 30
@@ -13,23 +13,25 @@
 
 namespace peridotspool::request {
 
-/** What can happen to a request at its executor. */
+/** The events of a request at its executor. */
 namespace transition_event {
 
-/** An upstream is chosen and the request may be sent now. */
+/** An upstream is chosen, and the request is sent now. */
 struct Dispatch
 {};
-/** An upstream is chosen; the right to send once has to be committed first. */
+/** An upstream is chosen; the intent to send must be committed before the
+ * request is sent. */
 struct Intend
 {};
 struct Piece
 {};
 struct Complete
 {};
-/** The attempt failed and another one will be made. */
+/** The attempt failed and is retried. */
 struct Retry
 {};
-/** The attempt surely did not run; that has to be committed first. */
+/** The attempt did not run; voiding its intent must be committed before a
+ * retry. */
 struct MustVoid
 {};
 /** The request ends with the outcome that the owner has set. */
@@ -44,8 +46,8 @@
 } // namespace transition_event
 
 /**
- * The legal steps of a request's life. An event that a state has no row for
- * changes nothing: it is late, and the owner counts it.
+ * The legal transitions of an execution. An event without a row for the current
+ * state is rejected and changes nothing.
  */
 class ExecutionTransitions
   : public boost::msm::front::state_machine_def<ExecutionTransitions>
@@ -68,7 +70,7 @@
   using Finishing = In<ExecutionState::kFinishing>;
   using Ended = In<ExecutionState::kEnded>;
 
-  // The library asks for these two names.
+  // Boost.MSM requires these two names.
   // NOLINTNEXTLINE(readability-identifier-naming)
   using initial_state = Queued;
 
--- a/src/request/ExecutionUpstream.cpp
+++ b/src/request/ExecutionUpstream.cpp
@@ -1,4 +1,4 @@
-// What an execution does with what comes from its upstream.
+// Handles the events of an execution's upstream call.
 
 #include "peridotspool/base/Overloaded.h"
 #include "request/Execution.h"
@@ -10,7 +10,8 @@
 
 namespace {
 
-/** New connections tried for a stream before its upstream is given up. */
+/** Maximum number of resumes of a stream without a new piece; then the upstream
+ * counts as lost. */
 constexpr std::uint32_t kMaxResumes = 2;
 constexpr std::int32_t kStatusOk = 200;
 constexpr std::uint32_t kFirstServerError = 500;
@@ -48,8 +49,8 @@
 Execution::OnPiece(StepContext& aContext, const UpstreamPiece& aPiece)
 {
   if (!MatchesAttempt(aPiece.mRequest, aPiece.mAttempt)) {
-    // Answers crossed inside the upstream. The piece is somebody else's and
-    // this caller must never see it; the caller's own pieces go on.
+    // The upstream mixed up answers. The piece belongs to another request or
+    // attempt and must never reach this caller; the stream continues.
     aContext.Count(Tally::kCrossedPieceDropped);
     return;
   }
@@ -58,8 +59,8 @@
     return;
   }
   if (aPiece.mIndex > mNextIndex) {
-    // A piece is missing (it went to somebody else, say): what follows would
-    // leave a hole in the answer, so the stream is fetched again from here.
+    // A piece is missing, for example because it went to another request. To
+    // avoid a gap in the answer, the stream is resumed from the missing piece.
     StopUpstream(aContext, false);
     OnBroken(aContext, UpstreamBroken{ .mReason = "gap in the stream" });
     return;
@@ -134,8 +135,8 @@
     RetryOrGiveUp(aContext, Tally::kRetryUpstreamRefused);
     return;
   }
-  // The upstream understood the request and will not do it: another try would
-  // get the same answer.
+  // The upstream rejected the request as such; a retry would be rejected
+  // again.
   GiveUp(
     aContext,
     ledger::Outcome{ .mKind = ledger::OutcomeKind::kFailed,
@@ -171,9 +172,9 @@
 bool
 Execution::TryResumeSameStream(StepContext& aContext)
 {
-  // The connection may be dead while the engine still generates (something
-  // between the two lost track of it): a new connection to the same stream
-  // costs nothing, and is no second run.
+  // The connection may be dead while the engine still generates, for example
+  // because a network device between them dropped the connection's state. A new
+  // connection to the same stream recomputes nothing and is no second run.
   const bool engine = mAttempt->mKind == routing::UpstreamKind::kModelEngine;
   if (!engine || mAttempt->mResumes >= kMaxResumes) {
     return false;
--- a/src/request/LedgerAnswers.cpp
+++ b/src/request/LedgerAnswers.cpp
@@ -1,4 +1,4 @@
-// What the request manager does with the ledger's answers.
+// Handles the ledger's answers to the request manager.
 
 #include "request/RequestManagerState.h"
 
@@ -92,8 +92,9 @@
   if (request.mExecution) {
     return;
   }
-  // The record may name an entry that doesn't run it (any more): one that has
-  // left, one that denied it twice, or this one before a lost answer.
+  // The record may name an entry that does not run the request: one that has
+  // left, one that denied running it twice, or this entry, if the answer that
+  // made it the executor was lost.
   const bool denied =
     request.mFollowing && request.mFollowing->mDenials >= 2 &&
     request.mFollowing->mExecutorTurn == aRecord.mExecutorTurn;
@@ -218,7 +219,7 @@
     Admit(aKey);
     return;
   }
-  // It was admitted where it ran first; it does not queue a second time.
+  // The request was admitted at its first executor and is not queued again.
   WithExecution(aKey, [&](Execution& aExecution, StepContext& aContext) {
     aExecution.Start(aContext, aWhy);
   });
--- a/src/request/LocalRequest.h
+++ b/src/request/LocalRequest.h
@@ -8,7 +8,7 @@
 
 namespace peridotspool::request {
 
-/** This entry's view of an answer that another entry's execution makes. */
+/** The state of following an answer that another entry's execution produces. */
 struct FollowState
 {
   MemberId mExecutor;
@@ -19,21 +19,23 @@
   std::uint32_t mDenials = 0;
 };
 
-/** All that this entry knows of one request. */
+/** The state of one request at this entry. */
 struct LocalRequest
 {
   AnswerSubscribers mSubscribers;
   /** Set while this entry is the executor. */
   std::unique_ptr<Execution> mExecution;
-  /** Set while another entry is, and somebody here wants the answer. */
+  /** Set while another entry is the executor and this entry has subscribers. */
   std::optional<FollowState> mFollowing;
-  /** What came from the executor that is followed. */
+  /** The part of the answer received from the followed executor, or the outcome
+   * read from the ledger. */
   Answer mReceivedAnswer;
-  /** When admission let it go on here; empty before, and after a takeover. */
+  /** When the request was admitted at this entry; empty before that, and after
+   * a takeover by this entry. */
   std::optional<TimePoint> mAdmittedAt;
-  /** True while the ledger is being asked about it. */
+  /** True while a read of the request's record is pending. */
   bool mResolving = false;
-  /** When something is due; TimePoint::max() if nothing is. */
+  /** When work is due for the request; TimePoint::max() if none is. */
   TimePoint mWake = TimePoint::max();
 };
 
--- a/src/request/PendingProposal.h
+++ b/src/request/PendingProposal.h
@@ -7,30 +7,30 @@
 
 namespace peridotspool::request {
 
-/** A caller's exchange waits for its request to be accepted. */
+/** A caller's exchange waits for the acceptance of its request. */
 struct AcceptPending
 {
   CallId mExchange;
 };
 
-/** The record is read to learn who runs the request, or how it ended. */
+/** The record is read to find the request's executor or outcome. */
 struct ResolvePending
 {};
 
-/** This entry asks to become the executor. */
+/** This entry has proposed itself as the executor. */
 struct TakeOverPending
 {
-  /** The executor that is replaced; told so if it still lives. */
+  /** The replaced executor, which is notified if it is still a member. */
   MemberId mFrom;
 };
 
-/** A caller waits for a cancel or an acknowledgement. */
+/** A caller waits for the commit of a cancellation or an acknowledgement. */
 struct ConfirmPending
 {
   CallId mExchange;
 };
 
-/** An operator waits to see the record. */
+/** An operator waits for the record. */
 struct ShowPending
 {
   CallId mExchange;
@@ -40,7 +40,7 @@
 struct ExecutionPending
 {};
 
-/** Whom the ledger's answer is for. */
+/** The purpose of a proposal; determines who handles the ledger's answer. */
 struct PendingProposal
 {
   RequestKey mKey;
--- a/src/request/PromptBlocks.cpp
+++ b/src/request/PromptBlocks.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kBlockBytes = 64;
-/** Longer prefixes hardly tell engines apart any better. */
+/** Longer prefixes hardly improve the choice between engines. */
 constexpr std::size_t kMaxBlocks = 64;
 constexpr std::uint64_t kFnvBasis = 0xCBF29CE484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001B3ULL;
--- a/src/request/Relay.cpp
+++ b/src/request/Relay.cpp
@@ -1,5 +1,5 @@
-// The part of the request manager that passes answers between entries: a
-// request runs at one entry, and its callers may be at any.
+// Relays answers between entries: a request runs at one entry, and its callers
+// may be connected to any entry.
 
 #include "request/RequestManagerState.h"
 
@@ -9,9 +9,11 @@
 
 namespace {
 
-/** Asks without an answer before the ledger is asked who runs the request. */
+/** Number of unanswered queries to the executor before the ledger is read to
+ * find the current executor. */
 constexpr std::uint32_t kMaxUnansweredQueries = 2;
-/** After a denial the ledger is asked again this much later. */
+/** Delay before the ledger is read again after an executor denied running the
+ * request. */
 constexpr Duration kDenialRetryDelay = std::chrono::milliseconds(150);
 
 } // namespace
@@ -26,7 +28,8 @@
   if (!same) {
     request.mFollowing = FollowState{ .mExecutor = aRecord.mExecutor,
                                       .mExecutorTurn = aRecord.mExecutorTurn };
-    // Another executor may give another text; what it sends decides.
+    // Another executor may produce another text, so the received one is
+    // dropped.
     request.mReceivedAnswer = Answer{ .mExecutor = aRecord.mExecutor };
   }
   request.mFollowing->mUnansweredQueries = 0;
@@ -77,7 +80,7 @@
   const bool nothingNew = answer.mLineage == aMessage.mLineage &&
                           answer.mText.size() <= aMessage.mOffset;
   if (nothingNew || !answer.mLineage.IsSet()) {
-    // An empty piece says that the executor is alive and runs the request.
+    // An empty piece reports that the executor is alive and runs the request.
     mEffects->emplace_back(RelayEffect{
       aFrom,
       PieceMessage{ aMessage.mKey, aMessage.mLineage, aMessage.mOffset, "" } });
@@ -117,7 +120,7 @@
   const bool repeated = mirror.mLineage == aMessage.mLineage &&
                         aMessage.mOffset < mirror.mText.size();
   if (!repeated) {
-    // A piece before this one was lost between the entries.
+    // An earlier piece was lost between the entries; query it again.
     QueryExecutor(aMessage.mKey, request);
   }
 }
--- a/src/request/RequestManagerState.h
+++ b/src/request/RequestManagerState.h
@@ -12,7 +12,7 @@
 
 namespace peridotspool::request {
 
-/** The state and the steps behind RequestManager. */
+/** Implements RequestManager. */
 class RequestManagerState
 {
 public:
@@ -67,19 +67,21 @@
   void OnRelay(MemberId aFrom, const TakenOverMessage& aMessage);
   void OnRelay(MemberId aFrom, const DemandMessage& aMessage);
 
-  /** Asks admission, and starts the execution, lets it wait or ends it. */
+  /** Requests admission, then starts, queues or refuses the execution. */
   void Admit(const RequestKey& aKey);
   void StartAdmitted(const RequestKey& aKey);
-  /** Tells admission that a request has ended, and starts those that waited. */
+  /** Reports the end of a request to admission and starts the queued requests
+   * that may run now. */
   void EndAdmitted(const RequestKey& aKey,
                    const ServiceName& aService,
                    TimePoint aAdmittedAt);
   void StartNext();
-  /** Work that comes due by time for admission. */
+  /** Performs the periodic work of admission. */
   void TickAdmission();
   void PublishDemand();
 
-  /** Acts on a record: publishes, follows, or takes over. */
+  /** Handles a record: publishes the outcome, follows the executor or proposes
+   * a takeover. */
   void OnRecord(const RequestKey& aKey, const ledger::RequestRecord& aRecord);
   void Resolve(const RequestKey& aKey);
   void ProposeTakeOver(const RequestKey& aKey,
@@ -93,7 +95,8 @@
   void HandOver(const RequestKey& aKey, LocalRequest& aRequest);
   std::optional<MemberId> HandOverTarget(const RequestKey& aKey) const;
 
-  /** Publishes news of a request, sets its wake and drops it if unused. */
+  /** Publishes a request's new text and outcome, schedules its next wake-up,
+   * and removes it if it is unused. */
   void PublishProgress(const RequestKey& aKey);
   void PublishExecutionProgress(const RequestKey& aKey, LocalRequest& aRequest);
   void SetWake(const RequestKey& aKey, LocalRequest& aRequest, TimePoint aWake);
@@ -111,9 +114,10 @@
   bool IsDraining(MemberId aMember) const;
 
   using UseExecution = std::function<void(Execution&, StepContext&)>;
-  /** Runs aUse with a context, then claims what it proposed and started. */
+  /** Calls aUse with a context, then registers the proposals and the upstream
+   * calls that it made for the request. */
   void WithExecution(const RequestKey& aKey, const UseExecution& aUse);
-  /** Forgets the exchanges that got their last reply. */
+  /** Removes the exchanges that received their last reply. */
   void RemoveAnsweredExchanges(const Effects& aEffects);
   void RegisterNewEffects(const RequestKey& aKey, std::size_t aFrom);
 
@@ -133,7 +137,7 @@
   TimePoint mNextAdmissionTick;
   TimePoint mNextDemand;
 
-  // Valid during one step only.
+  // Valid only during a step.
   TimePoint mNow;
   Effects* mEffects = nullptr;
 };
--- a/src/request/StepContext.h
+++ b/src/request/StepContext.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::request {
 
-/** What one step works with; lives only as long as the step. */
+/** The context of one step; valid only during the step. */
 struct StepContext
 {
   TimePoint mNow;
@@ -20,7 +20,7 @@
   routing::Router& mRouter;
   AdmissionController& mAdmission;
   std::mt19937_64& mRandom;
-  /** The last handle given out. */
+  /** The last call ID assigned. */
   CallId& mLastCall;
   Effects& mEffects;
 
