--- a/test/request/AdmissionControllerTest.cpp
+++ b/test/request/AdmissionControllerTest.cpp
@@ -39,12 +39,12 @@
 
 } // namespace
 
-TEST_CASE("OtherEntriesDemandLeavesThisEntryItsShare")
+TEST_CASE("DemandOfOtherEntriesLeavesThisEntryItsShare")
 {
-  // Symptom: an entry refuses its first requests as over the limit, though
-  // hardly any run. Sequence: another entry publishes its demand; a caller asks
-  // here before this entry has published any. Cause: the demand that is known
-  // names only the other entry, so this one's part is nothing.
+  // Guards against refusing the first requests as over the limit although
+  // hardly any run: another entry publishes its demand, and a request arrives
+  // here before this entry has published any. If only the published demand
+  // counted, this entry's share would be zero.
   AdmissionController controller(MemberId(1), {});
   controller.SetSettings(TreeWithLimits("100/s", "100"));
   controller.SetMembers({ MemberId(1), MemberId(2) });
@@ -55,11 +55,11 @@
     std::holds_alternative<routing::Admitted>(Admit(controller, "b", later)));
 }
 
-TEST_CASE("CustomerOverItsTotalIsRefusedThoughItsServicesHaveRoom")
+TEST_CASE("CustomerOverItsTotalIsRefusedWithinItsServiceLimits")
 {
-  // Symptom: a customer with two services uses twice what it may. Sequence: it
-  // has one request under way at each of two services, with a total of one.
-  // Cause: each service bounds only its own requests.
+  // Guards against exceeding a customer's total through several services: with
+  // a total concurrency of one, a running request at one service must make the
+  // other service refuse. Each service's own limit bounds only its requests.
   const std::string text =
     "services:\n  assistant: { kind: model, idempotent: true }\n"
     "  floor-data: { kind: plain, idempotent: false }\n"
@@ -85,7 +85,7 @@
   CHECK(std::holds_alternative<routing::Admitted>(admit()));
 }
 
-TEST_CASE("WithoutSettingsEverybodyIsAdmitted")
+TEST_CASE("EveryRequestIsAdmittedWithoutSettings")
 {
   AdmissionController controller(MemberId(1), {});
   CHECK(std::holds_alternative<routing::Admitted>(Admit(controller, "a")));
--- a/test/request/AnswerSubscribersTest.cpp
+++ b/test/request/AnswerSubscribersTest.cpp
@@ -11,8 +11,8 @@
 
 const RequestKey kKey{ CustomerName("kilimanjaro"), "repaste-22" };
 
-/** What a caller holds after its replies: as a client of ours keeps it. */
-struct CallerCopy
+/** The text and state that a client derives from the replies. */
+struct ClientState
 {
   std::string mText;
   AttemptNumber mLineage;
@@ -41,15 +41,15 @@
 
 } // namespace
 
-TEST_CASE("ListenerThatJoinsLateGetsEveryByteOnce")
+TEST_CASE("LateSubscriberReceivesEveryByteOnce")
 {
-  rc::prop("whatever the pieces and the moment of joining", [] {
+  rc::prop("any pieces and any time of subscribing", [] {
     const auto pieces = *rc::gen::container<std::vector<std::string>>(
       rc::gen::string<std::string>());
     const auto joinAt = *rc::gen::inRange<std::size_t>(0, pieces.size() + 1);
     AnswerSubscribers subscribers;
     Answer answer{ .mLineage = AttemptNumber(1) };
-    CallerCopy copy;
+    ClientState client;
     for (std::size_t index = 0; index <= pieces.size(); ++index) {
       if (index == joinAt) {
         subscribers.Add(CallId(7), {});
@@ -61,33 +61,32 @@
         answer.mOutcome = ledger::Outcome{};
       }
       subscribers.Publish(kKey, answer, effects);
-      copy.Apply(effects, CallId(7));
+      client.Apply(effects, CallId(7));
     }
-    RC_ASSERT(copy.mText == answer.mText);
-    RC_ASSERT(copy.mDone);
+    RC_ASSERT(client.mText == answer.mText);
+    RC_ASSERT(client.mDone);
   });
 }
 
-TEST_CASE("CallerThatHasHalfOfAnotherTextBeginsAnew")
+TEST_CASE("CallerWithTextOfAnotherLineageRestarts")
 {
-  // Symptom: a plan whose first half is from one answer and whose second half
-  // is from another. Sequence: the caller had 4 bytes; the executor and its
-  // engine were lost; the request began again at another engine; the caller
-  // attaches with its 4 bytes. Cause: an offset into one text is used in
-  // another.
+  // Guards against an answer joined from two texts: the caller has 4 bytes when
+  // the executor and its engine are lost, the request restarts at another
+  // engine, and the caller attaches with its 4 bytes. An offset into the first
+  // text must not be applied to the second one.
   AnswerSubscribers subscribers;
   subscribers.Add(CallId(7), { AttemptNumber(1), 4 });
   const Answer answer{ .mLineage = AttemptNumber(1001),
                        .mText = "use feeder 12" };
   Effects effects;
   subscribers.Publish(kKey, answer, effects);
-  CallerCopy copy{ .mText = "put ", .mLineage = AttemptNumber(1) };
-  copy.Apply(effects, CallId(7));
-  CHECK(copy.mText == "use feeder 12");
-  CHECK(copy.mLineage == AttemptNumber(1001));
+  ClientState client{ .mText = "put ", .mLineage = AttemptNumber(1) };
+  client.Apply(effects, CallId(7));
+  CHECK(client.mText == "use feeder 12");
+  CHECK(client.mLineage == AttemptNumber(1001));
 }
 
-TEST_CASE("ListenersAreLetGoAfterTheOutcome")
+TEST_CASE("SubscribersAreRemovedAfterTheOutcome")
 {
   AnswerSubscribers subscribers;
   subscribers.Add(CallId(7), {});
--- a/test/request/AtMostOnceTest.cpp
+++ b/test/request/AtMostOnceTest.cpp
@@ -13,9 +13,9 @@
 
 TEST_CASE("CallIsSentOnlyAfterItsIntentIsCommitted")
 {
-  // Symptom: a repaste order runs twice. Sequence: the executor sends the
-  // order and dies before anybody else knows; another takes over and sends it.
-  // Cause: sending does not wait for the committed intent.
+  // Guards against running a non-idempotent request twice: if the executor sent
+  // it before its intent was committed and was then lost, the next executor
+  // would send it again.
   ManagerFixture fixture(1);
   fixture.AddUpstream("crew-jobs-1", UpstreamKind::kPlainService);
   fixture.mHoldLedgerAnswers = true;
@@ -30,11 +30,11 @@
   CHECK(fixture.Record()->mIntent->mAttempt == fixture.mStarted[0].mAttempt);
 }
 
-TEST_CASE("CallKeepsItsBodyAcrossTheIntent")
+TEST_CASE("CallIsSentWithItsBodyAfterTheIntentIsCommitted")
 {
-  // Symptom: the service is called with an empty body. Sequence: accept,
-  // intent, send. Cause: the ledger's answer to an intent leaves the terms
-  // out, and the executor replaced its whole record by it.
+  // Guards against calling the service with an empty body: the ledger's answer
+  // to an intent omits the terms, so the executor must not replace its whole
+  // record with the one in that answer.
   ManagerFixture fixture(1);
   fixture.AddUpstream("crew-jobs-1", UpstreamKind::kPlainService);
   fixture.Submit(0, false);
@@ -44,9 +44,9 @@
 
 TEST_CASE("CallWhoseConnectionBreaksIsNotSentAgain")
 {
-  // Symptom: two teams go to the same hoarding. Sequence: the order is
-  // written; the connection breaks before the answer. Cause: retry after a
-  // broken connection.
+  // Guards against running a non-idempotent request twice: the connection
+  // breaks after the request was written and before the answer, and a retry
+  // would send it again.
   ManagerFixture fixture(1);
   fixture.AddUpstream("crew-jobs-1", UpstreamKind::kPlainService);
   fixture.AddUpstream("crew-jobs-2", UpstreamKind::kPlainService);
@@ -83,9 +83,10 @@
 
 TEST_CASE("CallOfALostExecutorEndsAsUnknown")
 {
-  // Symptom: an order runs a second time after an entry was reclaimed.
-  // Sequence: entry 0 sends it and is lost; the caller comes to entry 1, which
-  // takes over. Cause: the new executor takes silence for "did not run".
+  // Guards against running a non-idempotent request twice: entry 0 sends it and
+  // is lost (reclaimed), the caller attaches at entry 1, which takes over. The
+  // new executor must not conclude from the missing answer that the request did
+  // not run.
   ManagerFixture fixture(2);
   fixture.AddUpstream("crew-jobs-1", UpstreamKind::kPlainService);
   fixture.Submit(0, false);
@@ -101,9 +102,9 @@
 
 TEST_CASE("SameKeyThroughThreeEntriesRunsOnce")
 {
-  // Symptom: a caller that retries through other entries gets its order
-  // carried out three times. Sequence: the same key at three entries at once.
-  // Cause: each entry accepts on its own.
+  // Guards against running a request three times: a caller that retries through
+  // other entries submits the same key at three entries at once, and each entry
+  // would accept it independently.
   ManagerFixture fixture(3);
   fixture.AddUpstream("crew-jobs-1", UpstreamKind::kPlainService);
   fixture.mHoldLedgerAnswers = true;
--- a/test/request/ExecutionStateMachineTest.cpp
+++ b/test/request/ExecutionStateMachineTest.cpp
@@ -5,7 +5,7 @@
 
 namespace peridotspool::request {
 
-TEST_CASE("RequestThatRunsOnceIsSentOnlyAfterItsIntent")
+TEST_CASE("NonIdempotentRequestIsSentOnlyAfterItsIntent")
 {
   ExecutionStateMachine machine;
   REQUIRE(machine.Apply(ExecutionEvent::kIntend));
@@ -16,7 +16,7 @@
   CHECK(machine.State() == ExecutionState::kDispatched);
 }
 
-TEST_CASE("NothingHappensAfterTheEnd")
+TEST_CASE("EveryEventIsRejectedAfterTheEnd")
 {
   ExecutionStateMachine machine;
   REQUIRE(machine.Apply(ExecutionEvent::kGiveUp));
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("LostTurnEndsARequestInEveryLiveState")
+TEST_CASE("LostExecutorTurnEndsARequestInEveryActiveState")
 {
   const std::vector<std::vector<ExecutionEvent>> paths{
     {},
--- a/test/request/ManagerFixture.cpp
+++ b/test/request/ManagerFixture.cpp
@@ -236,25 +236,26 @@
 ManagerFixture::Perform(Entry& /*aEntry*/, const ReplyEffect& aEffect)
 {
   Caller& caller = mCallers[aEffect.mExchange];
-  std::visit(Overloaded{ [&](const AcceptedReply&) { caller.mAccepted = true; },
-                         [&](const PieceReply& aPiece) {
-                           INFO("a piece must go on where the caller stands");
-                           REQUIRE(aPiece.mOffset == caller.mText.size());
-                           caller.mText += aPiece.mText;
-                           caller.mLineage = aPiece.mLineage;
-                         },
-                         [&](const RestartReply& aRestart) {
-                           caller.mText.clear();
-                           caller.mLineage = aRestart.mLineage;
-                         },
-                         [&](const FinalReply& aFinal) {
-                           INFO("a caller gets one final answer");
-                           REQUIRE_FALSE(caller.mOutcome.has_value());
-                           caller.mOutcome = aFinal.mOutcome;
-                         },
-                         [&](const MovedReply&) { caller.mMoved = true; },
-                         [](const auto&) {} },
-             aEffect.mReply);
+  std::visit(
+    Overloaded{ [&](const AcceptedReply&) { caller.mAccepted = true; },
+                [&](const PieceReply& aPiece) {
+                  INFO("a piece must start at the end of the caller's text");
+                  REQUIRE(aPiece.mOffset == caller.mText.size());
+                  caller.mText += aPiece.mText;
+                  caller.mLineage = aPiece.mLineage;
+                },
+                [&](const RestartReply& aRestart) {
+                  caller.mText.clear();
+                  caller.mLineage = aRestart.mLineage;
+                },
+                [&](const FinalReply& aFinal) {
+                  INFO("a caller must get only one final answer");
+                  REQUIRE_FALSE(caller.mOutcome.has_value());
+                  caller.mOutcome = aFinal.mOutcome;
+                },
+                [&](const MovedReply&) { caller.mMoved = true; },
+                [](const auto&) {} },
+    aEffect.mReply);
 }
 
 void
@@ -263,7 +264,7 @@
   mCounts[aEffect.mTally] += aEffect.mAmount;
 }
 
-/** The ledger's rules on one map that never fails, in the plainest form. */
+/** Implements the ledger's rules on a single record, without failures. */
 ledger::OperationAnswer
 ManagerFixture::Apply(const ledger::Operation& aOperation)
 {
@@ -341,7 +342,7 @@
     aOperation);
   answer.mRecord = mRecord;
   if (!fullRecord && answer.mVerdict == Verdict::kDone) {
-    // As the real ledger does: the proposer has the terms already.
+    // Like the real ledger, omits the terms, which the proposer has.
     answer.mRecord->mTerms.mBody.clear();
   }
   return answer;
--- a/test/request/ManagerFixture.h
+++ b/test/request/ManagerFixture.h
@@ -11,15 +11,15 @@
 namespace peridotspool::request {
 
 /**
- * Request managers of a few entries around one ledger that never fails and a
- * test that plays the upstreams. Messages between entries can be lost.
+ * The request managers of several entries with one ledger that never fails. The
+ * test acts as the upstreams. Messages between entries can be dropped.
  */
 class ManagerFixture
 {
 public:
   explicit ManagerFixture(std::size_t aEntries);
 
-  /** A caller's view of one exchange, kept as a client of ours keeps it. */
+  /** The state of one exchange as a client derives it from the replies. */
   struct Caller
   {
     std::string mText;
@@ -42,26 +42,26 @@
   CallId Attach(std::size_t aEntry, const Caller& aHad);
   void Cancel(std::size_t aEntry);
   void Drain(std::size_t aEntry);
-  /** Takes an entry away; the others learn it from the member list. */
+  /** Removes an entry; the others learn of it from the member list. */
   void Kill(std::size_t aEntry);
   void Feed(const Call& aCall, UpstreamOutcome aOutcome);
   void Advance(Duration aTime);
 
-  /** Started calls, oldest first. */
+  /** Returns the started calls, ordered by entry and call ID. */
   std::vector<Call> Calls() const;
   const Caller& CallerOf(CallId aExchange) const;
   std::uint64_t Counted(Tally aTally) const;
   const ledger::RequestRecord* Record() const;
 
-  /** Every StartUpstreamEffect ever, dropped or not. */
+  /** Every StartUpstreamEffect, including those of dropped calls. */
   std::vector<StartUpstreamEffect> mStarted;
-  /** While true, messages between entries vanish. */
+  /** While true, messages between entries are dropped. */
   bool mDropRelays = false;
-  /** While true, the ledger keeps its answers back. */
+  /** While true, the ledger's answers are held back. */
   bool mHoldLedgerAnswers = false;
-  /** While the answers are kept back, this many still go through. */
+  /** While answers are held back, this many are still delivered. */
   std::size_t mHeldAnswersToRelease = 0;
-  /** For showing tests fail: a ledger that forgets dispatch intents. */
+  /** Makes the ledger ignore dispatch intents, to show that tests then fail. */
   bool mIgnoreIntents = false;
 
 private:
@@ -106,7 +106,7 @@
   CallId mLastExchange{ 1000 };
 };
 
-/** Shorthands for what an upstream says about the fixture's one request. */
+/** Make an upstream's events for the fixture's one request. */
 UpstreamPiece
 PieceFor(const ManagerFixture::Call& aCall,
          std::uint64_t aIndex,
--- a/test/request/WholeAnswerTest.cpp
+++ b/test/request/WholeAnswerTest.cpp
@@ -12,7 +12,7 @@
 
 using routing::UpstreamKind;
 
-/** Token i of the engine's one answer. */
+/** Returns token `aIndex` of the answer that every engine generates. */
 std::string
 Token(std::uint64_t aIndex)
 {
@@ -53,9 +53,9 @@
 
 TEST_CASE("CrossedPieceNeverReachesTheCaller")
 {
-  // Symptom: a technician sees a line of another plant's plan. Sequence: the
-  // engine sends a piece of another request on this stream. Cause: the stream
-  // is believed to belong to whoever opened it.
+  // Guards against delivering another customer's text: the engine sends a piece
+  // of another request, or of an older attempt, on this stream. The request and
+  // attempt of each piece must be checked, not only its connection.
   ManagerFixture fixture(1);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
   const CallId caller = fixture.Submit(0, true);
@@ -73,11 +73,11 @@
   CHECK(fixture.Counted(Tally::kCrossedPieceDropped) == 2);
 }
 
-TEST_CASE("SilentStreamIsResumedAndItsLateBytesAreDropped")
+TEST_CASE("TimedOutStreamIsResumedAndItsLateBytesAreDropped")
 {
-  // Symptom: an answer has a part twice. Sequence: the connection goes silent;
-  // the stream is resumed over a new one; the old one's bytes arrive after
-  // all. Cause: pieces are taken whatever connection they come from.
+  // Guards against a repeated part in the answer: the connection times out, the
+  // stream is resumed over a new one, and then the bytes of the old connection
+  // arrive. Pieces from a replaced connection must be dropped.
   ManagerFixture fixture(1);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
   const CallId caller = fixture.Submit(0, true);
@@ -95,10 +95,11 @@
   CHECK(fixture.Counted(Tally::kLatePieceDropped) == 1);
 }
 
-TEST_CASE("LostEngineIsContinuedElsewhereAfterWhatWasDelivered")
+TEST_CASE("AnswerOfALostEngineContinuesAtAnotherAfterTheDeliveredText")
 {
-  // Symptom: tokens recomputed after each reclaim. Sequence: an engine dies in
-  // the middle of an answer. Cause: the next engine starts from zero.
+  // Guards against recomputing tokens after a reclaim: an engine is lost in the
+  // middle of an answer, and the next engine must continue after the delivered
+  // text instead of starting from the beginning.
   ManagerFixture fixture(1);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
   fixture.AddUpstream("engine-2", UpstreamKind::kModelEngine);
@@ -123,9 +124,10 @@
 
 TEST_CASE("TakeoverResumesTheEnginesStreamAndRecomputesNothing")
 {
-  // Symptom: an entry is reclaimed without notice and its answers start over.
-  // Sequence: entry 0 streams and is lost; the caller attaches at entry 1 with
-  // what it had. Cause: the new executor does not know where the stream lives.
+  // Guards against restarting answers when an entry is reclaimed without
+  // notice: entry 0 streams and is lost, and the caller attaches at entry 1
+  // with the text it has. The new executor must find the engine's stream and
+  // resume it.
   ManagerFixture fixture(2);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
   const CallId before = fixture.Submit(0, true);
@@ -143,7 +145,7 @@
   CHECK(fixture.mStarted.size() == 2);
 }
 
-TEST_CASE("CallerAtAnotherEntryGetsTheWholeAnswerThoughRelaysAreLost")
+TEST_CASE("CallerAtAnotherEntryGetsTheWholeAnswerDespiteLostRelays")
 {
   ManagerFixture fixture(2);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
@@ -161,7 +163,7 @@
   REQUIRE(fixture.CallerOf(follower).mOutcome.has_value());
 }
 
-TEST_CASE("OutcomeThatWasLostOnTheWayIsLearntFromTheLedger")
+TEST_CASE("OutcomeLostBetweenEntriesIsReadFromTheLedger")
 {
   ManagerFixture fixture(2);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
@@ -177,10 +179,11 @@
   CHECK(fixture.mStarted.size() == 1);
 }
 
-TEST_CASE("LeavingEntryHandsItsStreamsOver")
+TEST_CASE("LeavingEntryHandsOverItsStreams")
 {
-  // Symptom: an announced reclaim cuts answers short. Sequence: entry 0 is
-  // told to leave while it streams. Cause: it ends its streams with itself.
+  // Guards against truncated answers after an announced reclaim: entry 0 starts
+  // to leave while it streams, and must hand its streams over instead of ending
+  // them.
   ManagerFixture fixture(2);
   fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
   const CallId before = fixture.Submit(0, true);
@@ -197,11 +200,11 @@
   CHECK(fixture.CallerOf(after).mText == WholeText(3));
 }
 
-TEST_CASE("AnyMixOfFaultsGivesEveryCallerTheWholeText")
+TEST_CASE("EveryCallerGetsTheWholeTextUnderAnyMixOfFaults")
 {
-  // Differential: whatever breaks, the caller ends with the text that an
-  // engine without faults gives, and with one outcome.
-  rc::prop("faults of the stream, in any order", [] {
+  // Differential test: under any faults, each caller gets one outcome and, if
+  // the request is answered, the text that an engine without faults generates.
+  rc::prop("stream faults in any order", [] {
     constexpr std::uint64_t kTokens = 6;
     ManagerFixture fixture(2);
     fixture.AddUpstream("engine-1", UpstreamKind::kModelEngine);
@@ -231,7 +234,7 @@
           fixture.Feed(call, PieceFor(call, next + 1, Token(next + 1)));
           break;
         case 2:
-          // Few enough that the attempts are not spent.
+          // Few enough to stay below the maximum number of attempts.
           if (++broken < 4) {
             fixture.Feed(call, UpstreamBroken{ .mTimedOut = true });
           }
