--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -302,7 +302,8 @@
     return;
   }
   // When every entry leaves, as in a planned stop of the system, no entry is
-  // left to receive the ledger's copies; only running requests are waited for.
+  // left to receive the ledger's copies; only requests and callers are waited
+  // for.
   const bool handedOver =
     mDrainStarted && mRequests->Running() == 0 && mRequests->Callers() == 0 &&
     (mLedger->Counters().mHeldShards == 0 || !AnyActiveMember());
--- a/src/request/Execution.cpp
+++ b/src/request/Execution.cpp
@@ -199,7 +199,7 @@
 void
 Execution::OnNoRoute(StepContext& aContext, routing::NoRoute aWhy)
 {
-  // No other upstream is available, so those that failed this request before
+  // No upstream could be chosen, so those that failed this request before
   // may be chosen again.
   mAvoid.clear();
   const TimePoint giveUpAt = mQueuedSince + aContext.mOptions.mMaxQueueWait;
