--- a/include/peridotspool/control/Consensus.h
+++ b/include/peridotspool/control/Consensus.h
@@ -75,7 +75,10 @@
    * The process that bears the identity has ended, and its disk is lost: nobody
    * will ever speak or have spoken for it in this process's life.
    */
-  void NoteEnded(ReplicaId aReplica) { mEnded.insert(aReplica); }
+  void RecordEndedReplica(ReplicaId aReplica)
+  {
+    mEndedReplicas.insert(aReplica);
+  }
   /** Returns true iff it leads, or has heard the leader in this time. */
   bool HeardLeaderWithin(Duration aTime, TimePoint aNow) const;
   /** What the leader knows of the others; empty on a follower. */
@@ -90,7 +93,7 @@
     LogIndex mIndex;
     ReplicaSet mSet;
   };
-  struct HeldMessage
+  struct MessageAwaitingSync
   {
     SyncToken mToken;
     SendReplicaEffect mSend;
@@ -109,20 +112,20 @@
   };
 
   // Events.
-  void Take(const ReplicaMessageEvent& aEvent);
-  void Take(const SyncedEvent& aEvent);
-  void Take(const ProposeEvent& aEvent);
-  void Take(const CompactEvent& aEvent);
-  void Take(const TickEvent& aEvent);
+  void Handle(const ReplicaMessageEvent& aEvent);
+  void Handle(const SyncedEvent& aEvent);
+  void Handle(const ProposeEvent& aEvent);
+  void Handle(const CompactEvent& aEvent);
+  void Handle(const TickEvent& aEvent);
 
   // Messages.
-  void TakeMessage(ReplicaId aFrom, const VoteRequest& aRequest);
-  void TakeMessage(ReplicaId aFrom, const VoteReply& aReply);
-  void TakeMessage(ReplicaId aFrom, const AppendRequest& aRequest);
-  void TakeMessage(ReplicaId aFrom, const AppendReply& aReply);
-  void TakeMessage(ReplicaId aFrom, const InstallSnapshot& aRequest);
+  void HandleMessage(ReplicaId aFrom, const VoteRequest& aRequest);
+  void HandleMessage(ReplicaId aFrom, const VoteReply& aReply);
+  void HandleMessage(ReplicaId aFrom, const AppendRequest& aRequest);
+  void HandleMessage(ReplicaId aFrom, const AppendReply& aReply);
+  void HandleMessage(ReplicaId aFrom, const InstallSnapshot& aRequest);
   template<typename Other>
-  void TakeMessage(ReplicaId, const Other&)
+  void HandleMessage(ReplicaId, const Other&)
   {
   }
 
@@ -130,14 +133,14 @@
   void ResetElectionTimer();
   /** Asks for pre-votes soon while the replica has only just started: within
    * half of so many eager periods to all of them. */
-  void SetEagerTimer(int aPeriods);
-  bool HearsLeader() const;
+  void SetStartupElectionTimer(int aPeriods);
+  bool HasHeardLeaderRecently() const;
   /** The replica has led nobody and heard no leader since it started. */
-  bool KnowsNoLeader() const { return !mHadLeader; }
+  bool HasSeenNoLeader() const { return !mHadLeader; }
   bool IsUpToDate(const VoteRequest& aRequest) const;
   void StartPreVote();
   void StartElection();
-  void AskForVotes(bool aPreVote);
+  void RequestVotes(bool aPreVote);
   void CountVote(ReplicaId aFrom);
   bool AllRestarted() const;
   void CountRestarted(ReplicaId aFrom);
@@ -148,17 +151,17 @@
   void Broadcast();
   void SendAppend(ReplicaId aTo, FollowerProgress& aProgress);
   void SendSnapshot(ReplicaId aTo, FollowerProgress& aProgress);
-  void TakeAccepted(FollowerProgress& aProgress, LogIndex aIndex);
-  void TakeRefused(FollowerProgress& aProgress, LogIndex aIndex);
+  void HandleAppendAccepted(FollowerProgress& aProgress, LogIndex aIndex);
+  void HandleAppendRejected(FollowerProgress& aProgress, LogIndex aIndex);
   void AdvanceCommit();
   void CheckQuorum();
-  std::optional<TimePoint> QuorumAnsweredAt(TimePoint aNow) const;
+  std::optional<TimePoint> QuorumAcknowledgedAt(TimePoint aNow) const;
   void RefreshProgress();
 
   // The follower's side.
   bool AcceptLeader(ReplicaId aFrom, Term aTerm);
   /** Returns from where a leader's log may differ from this one. */
-  LogIndex FirstDoubtful(LogIndex aPrevious) const;
+  LogIndex FirstPossiblyDivergent(LogIndex aPrevious) const;
   void MergeEntries(const std::vector<LogEntry>& aEntries);
   void ReplyAppend(ReplicaId aTo,
                    RoundNumber aRound,
@@ -200,10 +203,10 @@
   std::set<ReplicaId> mVotes;
   /** Voters that restarted and know no leader, by this round of pre-votes. */
   std::set<ReplicaId> mRestarted;
-  /** Replicas whose identity is over; see NoteEnded. */
-  std::set<ReplicaId> mEnded;
+  /** Replicas whose identity is over; see RecordEndedReplica. */
+  std::set<ReplicaId> mEndedReplicas;
   /** A restarted replica of a smaller id is to be elected until then. */
-  TimePoint mYieldsUntil;
+  TimePoint mDefersElectionUntil;
 
   std::map<ReplicaId, FollowerProgress> mProgress;
   RoundNumber mRound;
@@ -216,7 +219,7 @@
   SyncToken mLastToken;
   SyncToken mSyncedToken;
   std::deque<PendingSync> mPendingSyncs;
-  std::deque<HeldMessage> mHeld;
+  std::deque<MessageAwaitingSync> mMessagesAwaitingSync;
   /** Own entries up to here are on the disk. */
   LogIndex mDurable;
 };
--- a/include/peridotspool/control/ConsensusOptions.h
+++ b/include/peridotspool/control/ConsensusOptions.h
@@ -21,16 +21,16 @@
    * whether all of them have restarted: then nobody leads, and one of them is
    * elected at once.
    */
-  Duration mEagerPeriod = std::chrono::milliseconds(80);
+  Duration mStartupElectionPeriod = std::chrono::milliseconds(80);
   /** So long after its start. */
-  Duration mEagerFor = std::chrono::seconds(5);
+  Duration mStartupElectionWindow = std::chrono::seconds(5);
   /** Clocks of two replicas may run apart by this share, at most. */
   double mClockRateBound = 0.01;
   std::size_t mMaxEntriesPerAppend = 256;
   /** After this long a snapshot without an answer is sent again. */
   Duration mSnapshotResend = std::chrono::seconds(2);
   /** Entries kept behind a snapshot for followers that lag a little. */
-  std::size_t mKeepBehindSnapshot = 256;
+  std::size_t mEntriesRetainedBehindSnapshot = 256;
   /** Differs for each replica, so that elections seldom collide. */
   std::uint64_t mRandomSeed = 1;
 
--- a/include/peridotspool/control/ControlEffect.h
+++ b/include/peridotspool/control/ControlEffect.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peridotspool/control/OperatorAnswer.h"
+#include "peridotspool/control/OperatorResponse.h"
 #include "peridotspool/control/PersistEffect.h"
 #include "peridotspool/control/ReplicaMessage.h"
 #include "peridotspool/membership/EntryMessage.h"
@@ -27,10 +27,10 @@
 };
 
 /** The answer to an OperatorEvent; exactly one for each. */
-struct AnswerEffect
+struct ResponseEffect
 {
   CallId mCall;
-  OperatorAnswer mAnswer;
+  OperatorResponse mAnswer;
 };
 
 enum class ControlNotice
@@ -77,7 +77,7 @@
 using ControlEffect = std::variant<ToReplicaEffect,
                                    ToEntryEffect,
                                    PersistEffect,
-                                   AnswerEffect,
+                                   ResponseEffect,
                                    NoticeEffect>;
 using ControlEffects = std::vector<ControlEffect>;
 
--- a/include/peridotspool/control/ControlEvent.h
+++ b/include/peridotspool/control/ControlEvent.h
@@ -20,7 +20,7 @@
   membership::EntryEnvelope mEnvelope;
 };
 
-/** An operator (or the planner) asks; answered by one AnswerEffect. */
+/** An operator (or the planner) asks; answered by one ResponseEffect. */
 struct OperatorEvent
 {
   CallId mCall;
--- a/include/peridotspool/control/ControlOptions.h
+++ b/include/peridotspool/control/ControlOptions.h
@@ -62,9 +62,9 @@
   Duration mEpochSpacing = std::chrono::milliseconds(500);
   /** A process whose name was lately removed waits this long, doubling. */
   Duration mRejoinBackoff = std::chrono::seconds(1);
-  Duration mRejoinBackoffMost = std::chrono::seconds(30);
+  Duration mMaxRejoinBackoff = std::chrono::seconds(30);
   /** An entry that was not heard for this long is not named to callers. */
-  Duration mListedFor = std::chrono::milliseconds(1200);
+  Duration mEntryListingTimeout = std::chrono::milliseconds(1200);
   /** After this long without effect a push is sent again. */
   Duration mPushResend = std::chrono::milliseconds(600);
   /** A snapshot is made after this many entries. */
--- a/include/peridotspool/control/EditAnswer.h
+++ b/include/peridotspool/control/EditResponse.h
@@ -23,7 +23,7 @@
 BOOST_DESCRIBE_ENUM(EditVerdict, kCommitted, kConflict, kInvalid, kEditIdReused)
 
 /** The final answer to a settings edit; a resent edit gets the same one. */
-struct EditAnswer
+struct EditResponse
 {
   EditVerdict mVerdict = EditVerdict::kInvalid;
   /** kCommitted: the edit's revision; kConflict: the winner's. */
@@ -32,8 +32,8 @@
   EditId mWinner;
   std::string mReason;
 
-  auto operator<=>(const EditAnswer&) const = default;
+  auto operator<=>(const EditResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(EditAnswer, (), (mVerdict, mRevision, mWinner, mReason))
+BOOST_DESCRIBE_STRUCT(EditResponse, (), (mVerdict, mRevision, mWinner, mReason))
 
 } // namespace peridotspool::control
--- a/include/peridotspool/control/OperatorRequest.h
+++ b/include/peridotspool/control/OperatorRequest.h
@@ -129,13 +129,13 @@
 
 /** Changes contents' treatment: of the leader, or of an operator who lifts it.
  */
-struct TreatRequest
+struct QuarantineChangeRequest
 {
   std::vector<routing::QuarantineChange> mChanges;
 
-  auto operator<=>(const TreatRequest&) const = default;
+  auto operator<=>(const QuarantineChangeRequest&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TreatRequest, (), (mChanges))
+BOOST_DESCRIBE_STRUCT(QuarantineChangeRequest, (), (mChanges))
 
 /** Orders a rollout; safe to resend. */
 struct RolloutStartRequest
@@ -186,7 +186,7 @@
                                      DocumentRequest,
                                      UsageRequest,
                                      QuarantineRequest,
-                                     TreatRequest,
+                                     QuarantineChangeRequest,
                                      RolloutStartRequest,
                                      RolloutsRequest,
                                      RolloutAbortRequest,
--- a/include/peridotspool/control/OperatorAnswer.h
+++ b/include/peridotspool/control/OperatorResponse.h
@@ -2,7 +2,7 @@
 
 #include "peridotspool/base/Address.h"
 #include "peridotspool/base/Time.h"
-#include "peridotspool/control/EditAnswer.h"
+#include "peridotspool/control/EditResponse.h"
 #include "peridotspool/control/ReplicaSet.h"
 #include "peridotspool/control/SettingsState.h"
 #include "peridotspool/membership/Member.h"
@@ -18,53 +18,53 @@
 namespace peridotspool::control {
 
 /** Is a revision in force everywhere? */
-struct InForceAnswer
+struct InForceResponse
 {
   Revision mRevision;
   bool mInForce = false;
   /** Live entries that don't work by it yet. */
   std::vector<EntryName> mMissing;
 
-  auto operator<=>(const InForceAnswer&) const = default;
+  auto operator<=>(const InForceResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(InForceAnswer, (), (mRevision, mInForce, mMissing))
+BOOST_DESCRIBE_STRUCT(InForceResponse, (), (mRevision, mInForce, mMissing))
 
-struct SettingsAnswer
+struct SettingsResponse
 {
   Revision mRevision;
   std::string mText;
 
-  auto operator<=>(const SettingsAnswer&) const = default;
+  auto operator<=>(const SettingsResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(SettingsAnswer, (), (mRevision, mText))
+BOOST_DESCRIBE_STRUCT(SettingsResponse, (), (mRevision, mText))
 
 /** From the newest change on. */
-struct HistoryAnswer
+struct HistoryResponse
 {
   std::vector<SettingsChange> mChanges;
 
-  auto operator<=>(const HistoryAnswer&) const = default;
+  auto operator<=>(const HistoryResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(HistoryAnswer, (), (mChanges))
+BOOST_DESCRIBE_STRUCT(HistoryResponse, (), (mChanges))
 
-struct DiffAnswer
+struct DiffResponse
 {
   std::string mFromText;
   std::string mToText;
 
-  auto operator<=>(const DiffAnswer&) const = default;
+  auto operator<=>(const DiffResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(DiffAnswer, (), (mFromText, mToText))
+BOOST_DESCRIBE_STRUCT(DiffResponse, (), (mFromText, mToText))
 
 /** The entry's drain is committed in mEpoch. */
-struct DrainAnswer
+struct DrainResponse
 {
   MemberId mMember;
   EpochNumber mEpoch;
 
-  auto operator<=>(const DrainAnswer&) const = default;
+  auto operator<=>(const DrainResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(DrainAnswer, (), (mMember, mEpoch))
+BOOST_DESCRIBE_STRUCT(DrainResponse, (), (mMember, mEpoch))
 
 /** One control replica as the answering one sees it. */
 struct ReplicaStatus
@@ -90,7 +90,7 @@
 BOOST_DESCRIBE_STRUCT(EntryStatus, (), (mMember, mInForce, mEpoch, mSilentFor))
 
 /** Answered by every replica; only the leader's view of entries is whole. */
-struct StatusAnswer
+struct StatusResponse
 {
   ReplicaId mSelf;
   ReplicaId mLeader;
@@ -103,9 +103,9 @@
   std::vector<ReplicaStatus> mReplicas;
   std::vector<EntryStatus> mEntries;
 
-  auto operator<=>(const StatusAnswer&) const = default;
+  auto operator<=>(const StatusResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(StatusAnswer,
+BOOST_DESCRIBE_STRUCT(StatusResponse,
                       (),
                       (mSelf,
                        mLeader,
@@ -118,93 +118,93 @@
                        mReplicas,
                        mEntries))
 
-struct FencingAnswer
+struct FencingResponse
 {
   FencingNumber mNumber;
 
-  auto operator<=>(const FencingAnswer&) const = default;
+  auto operator<=>(const FencingResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(FencingAnswer, (), (mNumber))
+BOOST_DESCRIBE_STRUCT(FencingResponse, (), (mNumber))
 
 /** The document, or one with a version as high or higher, is committed. */
-struct DocumentAnswer
+struct DocumentResponse
 {
   std::uint64_t mNewest = 0;
   Revision mRevision;
 
-  auto operator<=>(const DocumentAnswer&) const = default;
+  auto operator<=>(const DocumentResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(DocumentAnswer, (), (mNewest, mRevision))
+BOOST_DESCRIBE_STRUCT(DocumentResponse, (), (mNewest, mRevision))
 
 /** Ask the leader; nothing was done here. */
-struct NotLeaderAnswer
+struct NotLeaderResponse
 {
   std::optional<Address> mLeader;
 
-  auto operator<=>(const NotLeaderAnswer&) const = default;
+  auto operator<=>(const NotLeaderResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(NotLeaderAnswer, (), (mLeader))
+BOOST_DESCRIBE_STRUCT(NotLeaderResponse, (), (mLeader))
 
 /** Leadership was lost meanwhile: it may be done or not. Resend it as it is. */
-struct UncertainAnswer
+struct UncertainResponse
 {
   std::optional<Address> mLeader;
 
-  auto operator<=>(const UncertainAnswer&) const = default;
+  auto operator<=>(const UncertainResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(UncertainAnswer, (), (mLeader))
+BOOST_DESCRIBE_STRUCT(UncertainResponse, (), (mLeader))
 
 /** Can't be done; nothing was changed. */
-struct RefusedAnswer
+struct RefusedResponse
 {
   std::string mReason;
 
-  auto operator<=>(const RefusedAnswer&) const = default;
+  auto operator<=>(const RefusedResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(RefusedAnswer, (), (mReason))
+BOOST_DESCRIBE_STRUCT(RefusedResponse, (), (mReason))
 
 /** The contents that are treated unlike others, as committed. */
-struct QuarantineAnswer
+struct QuarantineResponse
 {
   std::vector<routing::QuarantineRow> mRows;
 
-  auto operator<=>(const QuarantineAnswer&) const = default;
+  auto operator<=>(const QuarantineResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(QuarantineAnswer, (), (mRows))
+BOOST_DESCRIBE_STRUCT(QuarantineResponse, (), (mRows))
 
 /** How an order of a rollout was judged, and the service's latest rollout. */
-struct RolloutOrderAnswer
+struct RolloutOrderResponse
 {
   rollout::OrderVerdict mVerdict = rollout::OrderVerdict::kStarted;
   rollout::Rollout mLatest;
 
-  auto operator<=>(const RolloutOrderAnswer&) const = default;
+  auto operator<=>(const RolloutOrderResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(RolloutOrderAnswer, (), (mVerdict, mLatest))
+BOOST_DESCRIBE_STRUCT(RolloutOrderResponse, (), (mVerdict, mLatest))
 
 /** Rollouts as committed, the oldest first. */
-struct RolloutsAnswer
+struct RolloutsResponse
 {
   std::vector<rollout::Rollout> mRollouts;
 
-  auto operator<=>(const RolloutsAnswer&) const = default;
-};
-BOOST_DESCRIBE_STRUCT(RolloutsAnswer, (), (mRollouts))
-
-using OperatorAnswer = std::variant<EditAnswer,
-                                    InForceAnswer,
-                                    SettingsAnswer,
-                                    HistoryAnswer,
-                                    DiffAnswer,
-                                    DrainAnswer,
-                                    StatusAnswer,
-                                    FencingAnswer,
-                                    NotLeaderAnswer,
-                                    UncertainAnswer,
-                                    RefusedAnswer,
-                                    DocumentAnswer,
-                                    QuarantineAnswer,
-                                    RolloutOrderAnswer,
-                                    RolloutsAnswer>;
+  auto operator<=>(const RolloutsResponse&) const = default;
+};
+BOOST_DESCRIBE_STRUCT(RolloutsResponse, (), (mRollouts))
+
+using OperatorResponse = std::variant<EditResponse,
+                                      InForceResponse,
+                                      SettingsResponse,
+                                      HistoryResponse,
+                                      DiffResponse,
+                                      DrainResponse,
+                                      StatusResponse,
+                                      FencingResponse,
+                                      NotLeaderResponse,
+                                      UncertainResponse,
+                                      RefusedResponse,
+                                      DocumentResponse,
+                                      QuarantineResponse,
+                                      RolloutOrderResponse,
+                                      RolloutsResponse>;
 
 } // namespace peridotspool::control
--- a/include/peridotspool/control/ReplicatedLog.h
+++ b/include/peridotspool/control/ReplicatedLog.h
@@ -25,8 +25,8 @@
   std::optional<Term> TermAt(LogIndex aIndex) const;
   bool Holds(LogIndex aIndex) const;
   const LogEntry& At(LogIndex aIndex) const;
-  /** Returns up to aMost entries from aFrom on. */
-  std::vector<LogEntry> Slice(LogIndex aFrom, std::size_t aMost) const;
+  /** Returns up to aMaxCount entries from aFrom on. */
+  std::vector<LogEntry> Slice(LogIndex aFrom, std::size_t aMaxCount) const;
   std::size_t Size() const { return mEntries.size(); }
 
   void Append(LogEntry aEntry);
--- a/include/peridotspool/control/SettingsState.h
+++ b/include/peridotspool/control/SettingsState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/TextDelta.h"
-#include "peridotspool/control/EditAnswer.h"
+#include "peridotspool/control/EditResponse.h"
 
 #include <boost/describe/class.hpp>
 #include <cstdint>
@@ -27,7 +27,7 @@
 struct EditRecord
 {
   std::uint64_t mDigest = 0;
-  EditAnswer mAnswer;
+  EditResponse mAnswer;
 
   auto operator<=>(const EditRecord&) const = default;
 };
--- a/include/peridotspool/control/StateMachine.h
+++ b/include/peridotspool/control/StateMachine.h
@@ -2,7 +2,7 @@
 
 #include "peridotspool/base/LastReason.h"
 #include "peridotspool/control/Command.h"
-#include "peridotspool/control/EditAnswer.h"
+#include "peridotspool/control/EditResponse.h"
 #include "peridotspool/control/MachineState.h"
 #include "peridotspool/control/StateMachineOptions.h"
 
@@ -13,9 +13,9 @@
 namespace peridotspool::control {
 
 /** The command changes nothing that anybody waits for. */
-struct NothingApplied
+struct NoResultApplied
 {
-  auto operator<=>(const NothingApplied&) const = default;
+  auto operator<=>(const NoResultApplied&) const = default;
 };
 
 /** The membership command made this epoch; unset when it changed nothing. */
@@ -59,8 +59,8 @@
 };
 
 /** What applying a command gave. */
-using ApplyResult = std::variant<NothingApplied,
-                                 EditAnswer,
+using ApplyResult = std::variant<NoResultApplied,
+                                 EditResponse,
                                  EpochApplied,
                                  FencingNumber,
                                  DocumentApplied,
@@ -82,31 +82,31 @@
   std::uint64_t SettingsDigest() const { return mSettingsDigest; }
 
   /** Returns the first answer to an edit, or empty when it is unknown. */
-  std::optional<EditAnswer> KnownEdit(const EditId& aEdit,
-                                      std::uint64_t aDigest) const;
+  std::optional<EditResponse> KnownEdit(const EditId& aEdit,
+                                        std::uint64_t aDigest) const;
   /** Returns the text of a revision; empty when it is no longer kept. */
   std::optional<std::string> TextAt(Revision aRevision,
                                     LastReason& aReason) const;
 
 private:
-  ApplyResult ApplyOne(const NoopCommand& aCommand);
-  ApplyResult ApplyOne(const ReplicaSetCommand& aCommand);
-  ApplyResult ApplyOne(const EditCommand& aCommand);
-  ApplyResult ApplyOne(const MembershipCommand& aCommand);
-  ApplyResult ApplyOne(const FencingCommand& aCommand);
-  ApplyResult ApplyOne(const DocumentCommand& aCommand);
-  ApplyResult ApplyOne(const UsageCommand& aCommand);
-  ApplyResult ApplyOne(const QuotaFloorsCommand& aCommand);
-  ApplyResult ApplyOne(const QuarantineCommand& aCommand);
-  ApplyResult ApplyOne(const RolloutCommand& aCommand);
+  ApplyResult ApplyCommand(const NoopCommand& aCommand);
+  ApplyResult ApplyCommand(const ReplicaSetCommand& aCommand);
+  ApplyResult ApplyCommand(const EditCommand& aCommand);
+  ApplyResult ApplyCommand(const MembershipCommand& aCommand);
+  ApplyResult ApplyCommand(const FencingCommand& aCommand);
+  ApplyResult ApplyCommand(const DocumentCommand& aCommand);
+  ApplyResult ApplyCommand(const UsageCommand& aCommand);
+  ApplyResult ApplyCommand(const QuotaFloorsCommand& aCommand);
+  ApplyResult ApplyCommand(const QuarantineCommand& aCommand);
+  ApplyResult ApplyCommand(const RolloutCommand& aCommand);
   ApplyResult ApplyRollout(const rollout::RolloutOrder& aOrder);
   ApplyResult ApplyRollout(const rollout::RolloutEnd& aEnd);
   ApplyResult ApplyRollout(const rollout::RolloutAdvance& aAdvance);
 
   void ReplaceText(std::string aText, EditId aEdit, std::string aAuthor);
-  EditAnswer Judge(const EditCommand& aCommand);
-  EditAnswer ConflictOf(Revision aBase) const;
-  void Remember(const EditCommand& aCommand, const EditAnswer& aAnswer);
+  EditResponse Judge(const EditCommand& aCommand);
+  EditResponse ConflictOf(Revision aBase) const;
+  void Remember(const EditCommand& aCommand, const EditResponse& aAnswer);
   void TrimHistory();
   void TrimEpochs();
 
--- a/include/peridotspool/http/OperatorApi.h
+++ b/include/peridotspool/http/OperatorApi.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "peridotspool/control/OperatorAnswer.h"
 #include "peridotspool/control/OperatorRequest.h"
+#include "peridotspool/control/OperatorResponse.h"
 #include "peridotspool/http/CallerApi.h"
 #include "peridotspool/http/HttpMessage.h"
 
@@ -35,7 +35,7 @@
 
 /** Writes the answer; a replica that doesn't lead names the one that does. */
 HttpResponse
-WriteOperatorAnswer(const control::OperatorAnswer& aAnswer,
+WriteOperatorAnswer(const control::OperatorResponse& aAnswer,
                     const FindHttpAddress& aFindHttp);
 
 } // namespace peridotspool::http
--- a/include/peridotspool/http/RolloutApi.h
+++ b/include/peridotspool/http/RolloutApi.h
@@ -15,8 +15,8 @@
 ReadRolloutCall(const HttpRequest& aRequest);
 
 HttpResponse
-WriteRolloutAnswer(const control::RolloutOrderAnswer& aAnswer);
+WriteRolloutAnswer(const control::RolloutOrderResponse& aAnswer);
 HttpResponse
-WriteRolloutAnswer(const control::RolloutsAnswer& aAnswer);
+WriteRolloutAnswer(const control::RolloutsResponse& aAnswer);
 
 } // namespace peridotspool::http
--- a/include/peridotspool/runtime/ControlDialect.h
+++ b/include/peridotspool/runtime/ControlDialect.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "peridotspool/control/ControlOptions.h"
-#include "peridotspool/control/OperatorAnswer.h"
 #include "peridotspool/control/OperatorRequest.h"
+#include "peridotspool/control/OperatorResponse.h"
 #include "peridotspool/fleet/DutyCall.h"
 #include "peridotspool/gateway/RouteTable.h"
 #include "peridotspool/http/HttpMessage.h"
@@ -61,7 +61,7 @@
    * Writes an operator's answer. The target (path and query) and the leader's
    * peer address are there for a redirection.
    */
-  std::function<http::HttpResponse(const control::OperatorAnswer&,
+  std::function<http::HttpResponse(const control::OperatorResponse&,
                                    const std::string& aTarget)>
     mWriteAnswer;
   std::function<http::HttpResponse()> mWriteAnnounced;
--- a/src/control/Consensus.cpp
+++ b/src/control/Consensus.cpp
@@ -39,28 +39,29 @@
   // the first one's lease; so it starts as if it had heard one just now.
   mHeardLeaderAt = aNow;
   mStartedAt = aNow;
-  SetEagerTimer(1);
+  SetStartupElectionTimer(1);
 }
 
 ConsensusEffects
 Consensus::Step(const ConsensusEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   FlushWrites();
   ReleaseHeld();
   return std::exchange(mEffects, {});
 }
 
 void
-Consensus::Take(const ReplicaMessageEvent& aEvent)
+Consensus::Handle(const ReplicaMessageEvent& aEvent)
 {
-  std::visit([&](const auto& aMessage) { TakeMessage(aEvent.mFrom, aMessage); },
-             aEvent.mMessage);
+  std::visit(
+    [&](const auto& aMessage) { HandleMessage(aEvent.mFrom, aMessage); },
+    aEvent.mMessage);
 }
 
 void
-Consensus::Take(const SyncedEvent& aEvent)
+Consensus::Handle(const SyncedEvent& aEvent)
 {
   mSyncedToken = std::max(mSyncedToken, aEvent.mToken);
   bool ownVote = false;
@@ -80,7 +81,7 @@
 }
 
 void
-Consensus::Take(const ProposeEvent& aEvent)
+Consensus::Handle(const ProposeEvent& aEvent)
 {
   if (mRole != Role::kLeader) {
     return;
@@ -103,7 +104,7 @@
 }
 
 void
-Consensus::Take(const CompactEvent& aEvent)
+Consensus::Handle(const CompactEvent& aEvent)
 {
   PERIDOTSPOOL_INVARIANT(aEvent.mIndex <= mCommit);
   const std::optional<Term> term = mLog.TermAt(aEvent.mIndex);
@@ -115,7 +116,7 @@
                         .mReplicas = SetAt(aEvent.mIndex),
                         .mState = aEvent.mState };
   Write().mSnapshot = mSnapshot;
-  const std::uint64_t keep = mOptions.mKeepBehindSnapshot;
+  const std::uint64_t keep = mOptions.mEntriesRetainedBehindSnapshot;
   if (aEvent.mIndex.Value() > mLog.BaseIndex().Value() + keep) {
     mLog.DropThrough(LogIndex(aEvent.mIndex.Value() - keep));
   }
@@ -125,7 +126,7 @@
 }
 
 void
-Consensus::Take(const TickEvent&)
+Consensus::Handle(const TickEvent&)
 {
   if (mRole == Role::kLeader) {
     CheckQuorum();
--- a/src/control/ConsensusElection.cpp
+++ b/src/control/ConsensusElection.cpp
@@ -24,23 +24,24 @@
 }
 
 void
-Consensus::SetEagerTimer(int aPeriods)
+Consensus::SetStartupElectionTimer(int aPeriods)
 {
-  if (!KnowsNoLeader() || mNow - mStartedAt >= mOptions.mEagerFor) {
+  if (!HasSeenNoLeader() ||
+      mNow - mStartedAt >= mOptions.mStartupElectionWindow) {
     ResetElectionTimer();
     return;
   }
-  const auto half = aPeriods * mOptions.mEagerPeriod / 2;
+  const auto half = aPeriods * mOptions.mStartupElectionPeriod / 2;
   const auto extra = static_cast<Duration::rep>(
     mRandom() % static_cast<std::uint64_t>(half.count()));
   mElectionAt = mNow + half + Duration(extra);
 }
 
 bool
-Consensus::HearsLeader() const
+Consensus::HasHeardLeaderRecently() const
 {
   if (mRole == Role::kLeader) {
-    const std::optional<TimePoint> answered = QuorumAnsweredAt(mNow);
+    const std::optional<TimePoint> answered = QuorumAcknowledgedAt(mNow);
     return answered && mNow - *answered < mOptions.mElectionTimeout;
   }
   return mNow - mHeardLeaderAt < mOptions.mElectionTimeout;
@@ -67,7 +68,7 @@
 void
 Consensus::StartPreVote()
 {
-  SetEagerTimer(1);
+  SetStartupElectionTimer(1);
   if (!Replicas().IsVoter(mSelf)) {
     return;
   }
@@ -75,9 +76,9 @@
   mLeader = ReplicaId();
   mVotes.clear();
   mRestarted.clear();
-  AskForVotes(true);
+  RequestVotes(true);
   CountVote(mSelf);
-  if (KnowsNoLeader() && mRole == Role::kPreCandidate) {
+  if (HasSeenNoLeader() && mRole == Role::kPreCandidate) {
     CountRestarted(mSelf);
   }
 }
@@ -88,18 +89,18 @@
   mRole = Role::kCandidate;
   mLeader = ReplicaId();
   mVotes.clear();
-  if (KnowsNoLeader()) {
-    SetEagerTimer(kElectionPeriods);
+  if (HasSeenNoLeader()) {
+    SetStartupElectionTimer(kElectionPeriods);
   } else {
     ResetElectionTimer();
   }
-  // The own vote counts once it has synced; see Take(SyncedEvent).
+  // The own vote counts once it has synced; see Handle(SyncedEvent).
   SaveVote(mVote.mTerm.Next(), mSelf);
-  AskForVotes(false);
+  RequestVotes(false);
 }
 
 void
-Consensus::AskForVotes(bool aPreVote)
+Consensus::RequestVotes(bool aPreVote)
 {
   const VoteRequest request{
     .mTerm = aPreVote ? mVote.mTerm.Next() : mVote.mTerm,
@@ -132,7 +133,7 @@
   }
   if (mRole == Role::kPreCandidate) {
     // Its own vote would be one too: it has to keep its own silence as well.
-    if (!HearsLeader()) {
+    if (!HasHeardLeaderRecently()) {
       StartElection();
     }
   } else if (mRole == Role::kCandidate) {
@@ -148,7 +149,7 @@
                      [&](const ReplicaInfo& aReplica) {
                        return !aReplica.mVoter ||
                               mRestarted.contains(aReplica.mId) ||
-                              mEnded.contains(aReplica.mId);
+                              mEndedReplicas.contains(aReplica.mId);
                      });
 }
 
@@ -171,26 +172,26 @@
     return;
   }
   mRestarted.insert(aFrom);
-  if (AllRestarted() && KnowsNoLeader() && mNow >= mYieldsUntil) {
+  if (AllRestarted() && HasSeenNoLeader() && mNow >= mDefersElectionUntil) {
     StartElection();
   }
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const VoteRequest& aRequest)
+Consensus::HandleMessage(ReplicaId aFrom, const VoteRequest& aRequest)
 {
   // While a leader may count on this replica, no other is helped: the leader's
   // lease is worth something only because of this.
   const bool hears =
-    HearsLeader() && !(aRequest.mAllRestarted && KnowsNoLeader());
+    HasHeardLeaderRecently() && !(aRequest.mAllRestarted && HasSeenNoLeader());
   if (aRequest.mPreVote) {
     const bool granted =
       aRequest.mTerm > mVote.mTerm && !hears && IsUpToDate(aRequest);
     const bool restarted = aRequest.mTerm == mVote.mTerm.Next() &&
-                           KnowsNoLeader() && IsUpToDate(aRequest);
+                           HasSeenNoLeader() && IsUpToDate(aRequest);
     if (restarted && aFrom < mSelf) {
       // With one voter lost, two that both stand have one vote each.
-      mYieldsUntil = mNow + mOptions.mEagerPeriod;
+      mDefersElectionUntil = mNow + mOptions.mStartupElectionPeriod;
     }
     Send(
       aFrom,
@@ -220,7 +221,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const VoteReply& aReply)
+Consensus::HandleMessage(ReplicaId aFrom, const VoteReply& aReply)
 {
   const bool forPreVote =
     aReply.mPreVote && (aReply.mGranted || aReply.mRestarted);
--- a/src/control/ConsensusFollower.cpp
+++ b/src/control/ConsensusFollower.cpp
@@ -23,7 +23,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const AppendRequest& aRequest)
+Consensus::HandleMessage(ReplicaId aFrom, const AppendRequest& aRequest)
 {
   if (!AcceptLeader(aFrom, aRequest.mTerm)) {
     ReplyAppend(aFrom, aRequest.mRound, false, LogIndex());
@@ -32,7 +32,8 @@
   const LogIndex previous = aRequest.mPreviousIndex;
   // Up to the commit index all logs are alike, so only later places can differ.
   if (previous > mCommit && mLog.TermAt(previous) != aRequest.mPreviousTerm) {
-    ReplyAppend(aFrom, aRequest.mRound, false, FirstDoubtful(previous));
+    ReplyAppend(
+      aFrom, aRequest.mRound, false, FirstPossiblyDivergent(previous));
     return;
   }
   MergeEntries(aRequest.mEntries);
@@ -45,7 +46,7 @@
 }
 
 LogIndex
-Consensus::FirstDoubtful(LogIndex aPrevious) const
+Consensus::FirstPossiblyDivergent(LogIndex aPrevious) const
 {
   if (aPrevious > mLog.LastIndex()) {
     return mLog.LastIndex().Next();
@@ -77,7 +78,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const InstallSnapshot& aRequest)
+Consensus::HandleMessage(ReplicaId aFrom, const InstallSnapshot& aRequest)
 {
   if (!AcceptLeader(aFrom, aRequest.mTerm)) {
     ReplyAppend(aFrom, aRequest.mRound, false, LogIndex());
--- a/src/control/ConsensusLeader.cpp
+++ b/src/control/ConsensusLeader.cpp
@@ -85,7 +85,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const AppendReply& aReply)
+Consensus::HandleMessage(ReplicaId aFrom, const AppendReply& aReply)
 {
   if (aReply.mTerm > mVote.mTerm) {
     BecomeFollower(aReply.mTerm, ReplicaId());
@@ -107,18 +107,18 @@
   }
   progress.mAwaiting = false;
   if (aReply.mAccepted) {
-    TakeAccepted(progress, aReply.mIndex);
+    HandleAppendAccepted(progress, aReply.mIndex);
   } else {
-    TakeRefused(progress, aReply.mIndex);
+    HandleAppendRejected(progress, aReply.mIndex);
   }
-  // TakeAccepted may have committed this replica's own removal.
+  // HandleAppendAccepted may have committed this replica's own removal.
   if (mRole == Role::kLeader && progress.mNext <= mLog.LastIndex()) {
     SendAppend(aFrom, progress);
   }
 }
 
 void
-Consensus::TakeAccepted(FollowerProgress& aProgress, LogIndex aIndex)
+Consensus::HandleAppendAccepted(FollowerProgress& aProgress, LogIndex aIndex)
 {
   aProgress.mSnapshotSentAt.reset();
   aProgress.mMatch =
@@ -128,7 +128,7 @@
 }
 
 void
-Consensus::TakeRefused(FollowerProgress& aProgress, LogIndex aIndex)
+Consensus::HandleAppendRejected(FollowerProgress& aProgress, LogIndex aIndex)
 {
   const LogIndex most = std::min(aIndex, mLog.LastIndex().Next());
   aProgress.mNext = std::max(most, aProgress.mMatch.Next());
@@ -160,7 +160,7 @@
 }
 
 std::optional<TimePoint>
-Consensus::QuorumAnsweredAt(TimePoint aNow) const
+Consensus::QuorumAcknowledgedAt(TimePoint aNow) const
 {
   std::vector<TimePoint> answered;
   for (const ReplicaInfo& replica : Replicas().mReplicas) {
@@ -187,7 +187,7 @@
   if (mRole != Role::kLeader || mCommit < mFirstOwnIndex) {
     return false;
   }
-  const std::optional<TimePoint> answered = QuorumAnsweredAt(aNow);
+  const std::optional<TimePoint> answered = QuorumAcknowledgedAt(aNow);
   return answered && aNow < *answered + mOptions.LeaseDuration();
 }
 
@@ -197,7 +197,7 @@
 Consensus::CheckQuorum()
 {
   const TimePoint answered =
-    std::max(QuorumAnsweredAt(mNow).value_or(mLeaderSince), mLeaderSince);
+    std::max(QuorumAcknowledgedAt(mNow).value_or(mLeaderSince), mLeaderSince);
   if (mNow - answered > 2 * mOptions.mElectionTimeout) {
     BecomeFollower(mVote.mTerm, ReplicaId());
   }
--- a/src/control/ConsensusWrites.cpp
+++ b/src/control/ConsensusWrites.cpp
@@ -24,7 +24,8 @@
 Consensus::SendAfterSync(ReplicaId aTo, ReplicaMessage aMessage)
 {
   const SyncToken token = mWrite.IsEmpty() ? mLastToken : mLastToken.Next();
-  mHeld.push_back({ token, SendReplicaEffect{ aTo, std::move(aMessage) } });
+  mMessagesAwaitingSync.push_back(
+    { token, SendReplicaEffect{ aTo, std::move(aMessage) } });
 }
 
 void
@@ -46,9 +47,10 @@
 void
 Consensus::ReleaseHeld()
 {
-  while (!mHeld.empty() && mHeld.front().mToken <= mSyncedToken) {
-    HeldMessage held = std::move(mHeld.front());
-    mHeld.pop_front();
+  while (!mMessagesAwaitingSync.empty() &&
+         mMessagesAwaitingSync.front().mToken <= mSyncedToken) {
+    MessageAwaitingSync held = std::move(mMessagesAwaitingSync.front());
+    mMessagesAwaitingSync.pop_front();
     const auto termOf = Overloaded{
       [](const VoteRequest& aMessage) { return aMessage.mTerm; },
       [](const VoteReply& aMessage) { return aMessage.mTerm; },
--- a/src/control/ControlEntries.cpp
+++ b/src/control/ControlEntries.cpp
@@ -18,13 +18,13 @@
 namespace {
 
 /** A member not heard for this long is reported to the leader. */
-constexpr Duration kReportSilenceAfter = std::chrono::milliseconds(650);
+constexpr Duration kSilenceReportThreshold = std::chrono::milliseconds(650);
 constexpr Duration kReportPeriod = std::chrono::milliseconds(200);
 constexpr Duration kExpirePeriod = std::chrono::seconds(5);
 /** One answer in so many names the replicas. */
-constexpr std::uint64_t kNamesEach = 4;
+constexpr std::uint64_t kReplicaListInterval = 4;
 /** Pushes at once go to processes heard within this time. */
-constexpr Duration kHeardLately = std::chrono::seconds(1);
+constexpr Duration kRecentlyHeardTimeout = std::chrono::seconds(1);
 
 const Member*
 FindMember(const EpochMap& aMap, MemberId aId)
@@ -42,24 +42,27 @@
 } // namespace
 
 void
-ControlNodeState::Take(const FromEntryEvent& aEvent)
+ControlNodeState::Handle(const FromEntryEvent& aEvent)
 {
   std::visit(
-    [&](const auto& aMessage) { TakeEntry(aEvent.mEnvelope.mNonce, aMessage); },
+    [&](const auto& aMessage) {
+      HandleEntryMessage(aEvent.mEnvelope.mNonce, aMessage);
+    },
     aEvent.mEnvelope.mMessage);
 }
 
 void
-ControlNodeState::TakeEntry(EntryNonce aNonce, const EntryHeartbeat& aHeartbeat)
+ControlNodeState::HandleEntryMessage(EntryNonce aNonce,
+                                     const EntryHeartbeat& aHeartbeat)
 {
   if (!aNonce.IsSet()) {
     return;
   }
-  EntrySession* session = mSessions.Take(aNonce, aHeartbeat, mNow);
+  EntrySession* session = mSessions.RecordHeartbeat(aNonce, aHeartbeat, mNow);
   if (session == nullptr) {
     return;
   }
-  const HeartbeatAnswer answer = AnswerFor(aNonce, aHeartbeat);
+  const HeartbeatAnswer answer = HeartbeatResponseFor(aNonce, aHeartbeat);
   if (answer.mLeads || aHeartbeat.mSeeksLeader) {
     SendToEntry(aNonce, answer);
   }
@@ -69,7 +72,8 @@
 }
 
 HeartbeatAnswer
-ControlNodeState::AnswerFor(EntryNonce aNonce, const EntryHeartbeat& aHeartbeat)
+ControlNodeState::HeartbeatResponseFor(EntryNonce aNonce,
+                                       const EntryHeartbeat& aHeartbeat)
 {
   HeartbeatAnswer answer;
   answer.mSequence = aHeartbeat.mSequence;
@@ -79,12 +83,13 @@
   // ones.
   if (!Leads(mNow)) {
     // Only an entry that has lost the leader looks at them.
-    if (aHeartbeat.mSequence % kNamesEach == 1) {
+    if (aHeartbeat.mSequence % kReplicaListInterval == 1) {
       answer.mControls = ReplicaAddresses();
     }
     return answer;
   }
-  if (aHeartbeat.mSeeksLeader || aHeartbeat.mSequence % kNamesEach == 1) {
+  if (aHeartbeat.mSeeksLeader ||
+      aHeartbeat.mSequence % kReplicaListInterval == 1) {
     answer.mControls = ReplicaAddresses();
     answer.mVoters = static_cast<std::uint32_t>(Replicas().VoterCount());
   }
@@ -97,14 +102,14 @@
   answer.mLeads = true;
   answer.mConfirmed = State().mSettings.mRevision;
   answer.mEpoch = members.mCurrent.mEpoch;
-  TakeStanding(aNonce, aHeartbeat, answer);
+  ApplyMembershipStatus(aNonce, aHeartbeat, answer);
   return answer;
 }
 
 void
-ControlNodeState::TakeStanding(EntryNonce aNonce,
-                               const EntryHeartbeat& aHeartbeat,
-                               HeartbeatAnswer& aAnswer)
+ControlNodeState::ApplyMembershipStatus(EntryNonce aNonce,
+                                        const EntryHeartbeat& aHeartbeat,
+                                        HeartbeatAnswer& aAnswer)
 {
   const auto& members = State().mMembership;
   const auto member = members.mNonces.find(aNonce);
@@ -191,7 +196,7 @@
   const Revision revision = State().mSettings.mRevision;
   const EpochNumber epoch = State().mMembership.mCurrent.mEpoch;
   for (auto& [nonce, session] : mSessions.All()) {
-    if (mNow - session.mHeardAt > kHeardLately) {
+    if (mNow - session.mHeardAt > kRecentlyHeardTimeout) {
       continue;
     }
     const Revision settings =
@@ -208,8 +213,8 @@
 }
 
 void
-ControlNodeState::TakeEntry(EntryNonce aNonce,
-                            const membership::SettingsPull& aPull)
+ControlNodeState::HandleEntryMessage(EntryNonce aNonce,
+                                     const membership::SettingsPull& aPull)
 {
   EntrySession* session = mSessions.Find(aNonce);
   if (session != nullptr && aPull.mHave < State().mSettings.mRevision) {
@@ -218,8 +223,8 @@
 }
 
 void
-ControlNodeState::TakeEntry(EntryNonce aNonce,
-                            const membership::EpochPull& aPull)
+ControlNodeState::HandleEntryMessage(EntryNonce aNonce,
+                                     const membership::EpochPull& aPull)
 {
   EntrySession* session = mSessions.Find(aNonce);
   if (session != nullptr && aPull.mHave < State().mMembership.mCurrent.mEpoch) {
@@ -228,15 +233,15 @@
 }
 
 void
-ControlNodeState::TakeEpochMade(const EpochMap& aBefore)
+ControlNodeState::HandleEpochCommitted(const EpochMap& aBefore)
 {
   const auto& members = State().mMembership;
   for (const Member& member : aBefore.mMembers) {
     if (FindMember(members.mCurrent, member.mId) == nullptr) {
-      NoteDeparted(member);
+      RecordRemovedEntry(member);
     }
   }
-  mSessions.TakeMembers(members.mNonces, mNow);
+  mSessions.UpdateMembers(members.mNonces, mNow);
   if (mEpochPlanner) {
     mEpochPlanner->TakeEpoch(members.mChanges.back(), aBefore, mNow);
   }
@@ -251,8 +256,8 @@
     }
     for (const CallId call : aPair.second) {
       Answer(call,
-             DrainAnswer{ .mMember = aPair.first,
-                          .mEpoch = members.mCurrent.mEpoch });
+             DrainResponse{ .mMember = aPair.first,
+                            .mEpoch = members.mCurrent.mEpoch });
     }
     return true;
   });
@@ -262,7 +267,7 @@
 // confirmation is too old. If it were forgotten at once, an edit would be
 // called in force while somebody still works by the settings before it.
 void
-ControlNodeState::NoteDeparted(const Member& aMember)
+ControlNodeState::RecordRemovedEntry(const Member& aMember)
 {
   const EntrySession* session = mSessions.SessionOf(aMember.mId);
   if (session != nullptr && session->mDone) {
@@ -274,10 +279,10 @@
   const double rate = 1.0 + 2.0 * mOptions.mConsensus.mClockRateBound;
   const Duration grace(static_cast<Duration::rep>(
     static_cast<double>(mOptions.mConfirmationGrace.count()) * rate));
-  mDeparted.push_back(
-    Departed{ .mName = aMember.mName,
-              .mInForce = session == nullptr ? Revision() : session->mInForce,
-              .mUntil = confirmed + grace });
+  mRemovedEntries.push_back(RemovedEntry{
+    .mName = aMember.mName,
+    .mInForce = session == nullptr ? Revision() : session->mInForce,
+    .mUntil = confirmed + grace });
 }
 
 void
@@ -287,7 +292,7 @@
     mExpiredAt = mNow;
     mSessions.Expire(mNow);
   }
-  std::erase_if(mDeparted, [&](const Departed& aDeparted) {
+  std::erase_if(mRemovedEntries, [&](const RemovedEntry& aDeparted) {
     return aDeparted.mUntil <= mNow;
   });
   if (mEpochProposed) {
@@ -295,7 +300,7 @@
   }
   auto command = mEpochPlanner->Plan(
     mSessions, State().mMembership, mConsensus->Replicas(), mNow);
-  for (const MemberId member : mEpochPlanner->TakeNewlySilent()) {
+  for (const MemberId member : mEpochPlanner->ExtractNewlySilent()) {
     Notice(ControlNotice::kMemberSilent,
            "member=" + std::to_string(member.Value()));
   }
@@ -317,7 +322,7 @@
                         .mEpoch = State().mMembership.mCurrent.mEpoch,
                         .mSilent = {} };
   for (const auto& [member, view] : mSessions.Members()) {
-    if (mNow - view.mHeardAt >= kReportSilenceAfter) {
+    if (mNow - view.mHeardAt >= kSilenceReportThreshold) {
       report.mSilent.push_back(
         { .mMember = member, .mSilentFor = mNow - view.mHeardAt });
     }
--- a/src/control/ControlJoin.cpp
+++ b/src/control/ControlJoin.cpp
@@ -13,7 +13,7 @@
   mApplied = aState.mSnapshot ? aState.mSnapshot->mIndex : LogIndex();
   mCompactedAt = mApplied;
   mConsensus.emplace(mOptions.mConsensus, std::move(aState), mNow, aLastToken);
-  mSessions.TakeMembers(State().mMembership.mNonces, mNow);
+  mSessions.UpdateMembers(State().mMembership.mNonces, mNow);
 }
 
 // An empty folder may belong to a replica that lost its disk, and with it its
@@ -22,7 +22,7 @@
 // So it gets a new identity from the log, and counts in no majority before it
 // has the whole log again.
 void
-ControlNodeState::AskForIdentity()
+ControlNodeState::RequestIdentity()
 {
   constexpr Duration kAskPeriod = std::chrono::milliseconds(100);
   const bool asked = mAskedAt != TimePoint() && mNow - mAskedAt < kAskPeriod;
@@ -42,14 +42,15 @@
 }
 
 void
-ControlNodeState::TakeJoin(const Address& aReplyTo, const JoinRequest& aRequest)
+ControlNodeState::HandleJoinRequest(const Address& aReplyTo,
+                                    const JoinRequest& aRequest)
 {
   if (!mConsensus) {
     return;
   }
-  NoteReplaced(aRequest);
+  RecordReplacedReplica(aRequest);
   if (Leads(mNow)) {
-    mReplicaPlanner->TakeJoin(aRequest, aReplyTo, mNow);
+    mReplicaPlanner->HandleJoinRequest(aRequest, aReplyTo, mNow);
     return;
   }
   if (const auto leader = LeaderAddress();
@@ -70,18 +71,18 @@
 // the request was sent by a process that ran after this one had started; one
 // that has got the identity since bears the nonce that it asked with.
 void
-ControlNodeState::NoteReplaced(const JoinRequest& aRequest)
+ControlNodeState::RecordReplacedReplica(const JoinRequest& aRequest)
 {
   for (const ReplicaInfo& replica : mConsensus->Replicas().mReplicas) {
     if (replica.mAddress == aRequest.mAddress &&
         replica.mNonce != aRequest.mNonce) {
-      mConsensus->NoteEnded(replica.mId);
+      mConsensus->RecordEndedReplica(replica.mId);
     }
   }
 }
 
 void
-ControlNodeState::TakeJoinReply(SystemId aSystem, const JoinReply& aReply)
+ControlNodeState::HandleJoinReply(SystemId aSystem, const JoinReply& aReply)
 {
   if (mConsensus || mNewIdentity || aReply.mNonce != mOptions.mNonce) {
     return;
@@ -93,14 +94,14 @@
   }
   if (!aReply.mReplica) {
     if (!aReply.mLeader) {
-      NoticeRefusal("reason=" + aReply.mReason);
+      LogJoinRefusal("reason=" + aReply.mReason);
     }
     return;
   }
   const ReplicaIdentity identity{ .mSystem = aSystem,
                                   .mReplica = *aReply.mReplica };
   mNewIdentity =
-    Identity{ .mIdentity = identity, .mToken = mTokensUsed.Next() };
+    Identity{ .mIdentity = identity, .mToken = mLastIssuedToken.Next() };
   PersistEffect write;
   write.mReset = true;
   write.mToken = mNewIdentity->mToken;
@@ -113,7 +114,7 @@
 // identity is over it can join again. Only the committed set says so: a set
 // that is not committed may still be replaced.
 bool
-ControlNodeState::AnswerRemoved(const ReplicaEnvelope& aEnvelope)
+ControlNodeState::NotifyIfRemoved(const ReplicaEnvelope& aEnvelope)
 {
   const ReplicaSet& set = mConsensus->Replicas();
   const bool removed =
@@ -128,7 +129,7 @@
 }
 
 void
-ControlNodeState::TakeRemoved(const ReplicaEnvelope& aEnvelope)
+ControlNodeState::HandleRemovedNotice(const ReplicaEnvelope& aEnvelope)
 {
   const auto& notice = std::get<RemovedNotice>(aEnvelope.mMessage);
   if (!mConsensus || aEnvelope.mSystem != mIdentity->mSystem ||
@@ -143,7 +144,7 @@
       mSeeds.push_back(address);
     }
   }
-  mTokensUsed = mConsensus->LastToken();
+  mLastIssuedToken = mConsensus->LastToken();
   mConsensus.reset();
   mIdentity.reset();
   mLearnedAddresses.clear();
@@ -152,7 +153,7 @@
 
 // A replica asks ten times a second; the log needs each reason once.
 void
-ControlNodeState::NoticeRefusal(const std::string& aText)
+ControlNodeState::LogJoinRefusal(const std::string& aText)
 {
   if (aText != mLastRefusal) {
     mLastRefusal = aText;
@@ -163,10 +164,11 @@
 void
 ControlNodeState::PlanReplicas()
 {
-  for (JoinVerdict& verdict : mReplicaPlanner->Verdicts(*mConsensus, mNow)) {
+  for (JoinDecision& verdict :
+       mReplicaPlanner->ExtractDecisions(*mConsensus, mNow)) {
     if (!verdict.mReplica) {
-      NoticeRefusal("name=" + verdict.mRequest.mName.Value() +
-                    " reason=" + verdict.mReason);
+      LogJoinRefusal("name=" + verdict.mRequest.mName.Value() +
+                     " reason=" + verdict.mReason);
     }
     SendTo(verdict.mReplyTo,
            ReplicaId(),
--- a/src/control/ControlNodeState.cpp
+++ b/src/control/ControlNodeState.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** An election takes less; entries drop a replica that is silent for longer. */
-constexpr Duration kConnectedFor = std::chrono::milliseconds(2000);
+constexpr Duration kConnectedTimeout = std::chrono::milliseconds(2000);
 
 MachineState
 StateOf(const RestoredState& aState)
@@ -37,7 +37,7 @@
 ControlNodeState::Step(const ControlEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   NoteRole();
   return std::exchange(mEffects, {});
 }
@@ -51,7 +51,7 @@
 bool
 ControlNodeState::IsConnected(TimePoint aNow) const
 {
-  return mConsensus && mConsensus->HeardLeaderWithin(kConnectedFor, aNow);
+  return mConsensus && mConsensus->HeardLeaderWithin(kConnectedTimeout, aNow);
 }
 
 const ReplicaSet&
@@ -68,19 +68,19 @@
 }
 
 void
-ControlNodeState::Take(const FromReplicaEvent& aEvent)
+ControlNodeState::Handle(const FromReplicaEvent& aEvent)
 {
   const ReplicaEnvelope& envelope = aEvent.mEnvelope;
   if (const auto* join = std::get_if<JoinRequest>(&envelope.mMessage)) {
-    TakeJoin(envelope.mReplyTo, *join);
+    HandleJoinRequest(envelope.mReplyTo, *join);
     return;
   }
   if (const auto* reply = std::get_if<JoinReply>(&envelope.mMessage)) {
-    TakeJoinReply(envelope.mSystem, *reply);
+    HandleJoinReply(envelope.mSystem, *reply);
     return;
   }
   if (std::holds_alternative<RemovedNotice>(envelope.mMessage)) {
-    TakeRemoved(envelope);
+    HandleRemovedNotice(envelope);
     return;
   }
   // A message of another system, or for an identity that was lost with its
@@ -89,22 +89,22 @@
       envelope.mTo != mIdentity->mReplica) {
     return;
   }
-  if (AnswerRemoved(envelope)) {
+  if (NotifyIfRemoved(envelope)) {
     return;
   }
   mLearnedAddresses[envelope.mFrom] = envelope.mReplyTo;
   if (const auto* report = std::get_if<SilenceReport>(&envelope.mMessage)) {
     if (mEpochPlanner && report->mTerm == mConsensus->CurrentTerm()) {
-      mEpochPlanner->TakeReport(envelope.mFrom, *report, mNow);
+      mEpochPlanner->HandleSilenceReport(envelope.mFrom, *report, mNow);
     }
     return;
   }
-  NoteVoteHeard(envelope.mFrom, envelope.mMessage);
+  LogVoteReceived(envelope.mFrom, envelope.mMessage);
   RunConsensus(ReplicaMessageEvent{ envelope.mFrom, envelope.mMessage });
 }
 
 void
-ControlNodeState::Take(const SyncedEvent& aEvent)
+ControlNodeState::Handle(const SyncedEvent& aEvent)
 {
   if (mNewIdentity && aEvent.mToken >= mNewIdentity->mToken) {
     RestoredState state;
@@ -120,11 +120,11 @@
 }
 
 void
-ControlNodeState::Take(const TickEvent& aEvent)
+ControlNodeState::Handle(const TickEvent& aEvent)
 {
   constexpr Duration kPlanPeriod = std::chrono::milliseconds(50);
   if (!mConsensus) {
-    AskForIdentity();
+    RequestIdentity();
     return;
   }
   RunConsensus(aEvent);
@@ -136,7 +136,7 @@
   if (Leads(mNow)) {
     PlanReplicas();
     PlanEpoch();
-    AnswerInForce();
+    CompleteInForceRequests();
   }
 }
 
@@ -145,29 +145,29 @@
 {
   ConsensusEffects effects = mConsensus->Step(aEvent, mNow);
   for (ConsensusEffect& effect : effects) {
-    std::visit([this](auto& aOne) { TakeEffect(std::move(aOne)); }, effect);
+    std::visit([this](auto& aOne) { HandleEffect(std::move(aOne)); }, effect);
   }
   CompactIfDue();
 }
 
 void
-ControlNodeState::TakeEffect(SendReplicaEffect aEffect)
+ControlNodeState::HandleEffect(SendReplicaEffect aEffect)
 {
-  NoteVoteSent(aEffect);
+  LogVoteSent(aEffect);
   if (const auto address = AddressOf(aEffect.mTo)) {
     SendTo(*address, aEffect.mTo, std::move(aEffect.mMessage));
   }
 }
 
 void
-ControlNodeState::TakeEffect(PersistEffect aEffect)
+ControlNodeState::HandleEffect(PersistEffect aEffect)
 {
-  NoteVoteSaved(aEffect);
+  LogVoteSaved(aEffect);
   mEffects.emplace_back(std::move(aEffect));
 }
 
 void
-ControlNodeState::TakeEffect(const CommittedEffect& aEffect)
+ControlNodeState::HandleEffect(const CommittedEffect& aEffect)
 {
   for (const LogEntry& entry : aEffect.mEntries) {
     ApplyEntry(entry);
@@ -176,12 +176,12 @@
 }
 
 void
-ControlNodeState::TakeEffect(const InstalledEffect& aEffect)
+ControlNodeState::HandleEffect(const InstalledEffect& aEffect)
 {
   mMachine = StateMachine(mOptions.mStateMachine, aEffect.mSnapshot.mState);
   mApplied = aEffect.mSnapshot.mIndex;
   mCompactedAt = mApplied;
-  mSessions.TakeMembers(State().mMembership.mNonces, mNow);
+  mSessions.UpdateMembers(State().mMembership.mNonces, mNow);
   Notice(ControlNotice::kSnapshotInstalled,
          "index=" + std::to_string(mApplied.Value()));
 }
@@ -197,7 +197,7 @@
   const ApplyResult result = mMachine.Apply(aEntry.mCommand);
   mApplied = aEntry.mIndex;
   if (membership && State().mMembership.mCurrent.mEpoch != before.mEpoch) {
-    TakeEpochMade(before);
+    HandleEpochCommitted(before);
   }
   if (State().mSettings.mRevision != revision) {
     const SettingsChange& change = State().mSettings.mHistory.back();
@@ -228,30 +228,30 @@
   // Another leader's entry took the place: the proposal may be in the log
   // elsewhere or nowhere. Only a resend tells.
   if (pending.mTerm != aEntry.mTerm) {
-    Answer(pending.mCall, UncertainAnswer{ LeaderAddress() });
+    Answer(pending.mCall, UncertainResponse{ LeaderAddress() });
     return;
   }
   std::visit(
     Overloaded{
-      [&](const EditAnswer& aAnswer) { Answer(pending.mCall, aAnswer); },
+      [&](const EditResponse& aAnswer) { Answer(pending.mCall, aAnswer); },
       [&](FencingNumber aNumber) {
-        Answer(pending.mCall, FencingAnswer{ aNumber });
+        Answer(pending.mCall, FencingResponse{ aNumber });
       },
       [&](DocumentApplied aApplied) {
         Answer(pending.mCall,
-               DocumentAnswer{ .mNewest = aApplied.mNewest,
-                               .mRevision = State().mSettings.mRevision });
+               DocumentResponse{ .mNewest = aApplied.mNewest,
+                                 .mRevision = State().mSettings.mRevision });
       },
       [&](QuarantineApplied) { Answer(pending.mCall, Quarantined()); },
       [&](const RolloutOrdered& aOrdered) {
         Answer(pending.mCall,
-               RolloutOrderAnswer{ aOrdered.mVerdict, aOrdered.mLatest });
+               RolloutOrderResponse{ aOrdered.mVerdict, aOrdered.mLatest });
       },
       [&](const RolloutChanged& aChanged) {
         Answer(pending.mCall, Rollouts(aChanged.mService));
       },
       [&](const auto&) {
-        Answer(pending.mCall, RefusedAnswer{ "nothing was changed" });
+        Answer(pending.mCall, RefusedResponse{ "nothing was changed" });
       },
     },
     aResult);
@@ -273,10 +273,10 @@
 ControlNodeState::NoteRole()
 {
   const bool leads = mConsensus && mConsensus->CurrentRole() == Role::kLeader;
-  if (leads == mHadLead) {
+  if (leads == mWasLeader) {
     return;
   }
-  mHadLead = leads;
+  mWasLeader = leads;
   const std::string term =
     mConsensus ? "term=" + std::to_string(mConsensus->CurrentTerm().Value())
                : "term=none";
@@ -346,7 +346,7 @@
   std::vector<membership::EntryProfile> ready;
   for (const auto& [nonce, session] : mSessions.All()) {
     if (session.mProfile && session.mInForce.IsSet() && !session.mLeaving &&
-        aNow - session.mHeardAt < mOptions.mListedFor) {
+        aNow - session.mHeardAt < mOptions.mEntryListingTimeout) {
       ready.push_back(*session.mProfile);
     }
   }
--- a/src/control/ControlNodeState.h
+++ b/src/control/ControlNodeState.h
@@ -51,7 +51,7 @@
     TimePoint mDeadline;
   };
   /** A removed entry that may still take work by old settings. */
-  struct Departed
+  struct RemovedEntry
   {
     EntryName mName;
     Revision mInForce;
@@ -64,14 +64,14 @@
   };
 
   // ControlNodeState.cpp
-  void Take(const FromReplicaEvent& aEvent);
-  void Take(const SyncedEvent& aEvent);
-  void Take(const TickEvent& aEvent);
+  void Handle(const FromReplicaEvent& aEvent);
+  void Handle(const SyncedEvent& aEvent);
+  void Handle(const TickEvent& aEvent);
   void RunConsensus(const ConsensusEvent& aEvent);
-  void TakeEffect(SendReplicaEffect aEffect);
-  void TakeEffect(PersistEffect aEffect);
-  void TakeEffect(const CommittedEffect& aEffect);
-  void TakeEffect(const InstalledEffect& aEffect);
+  void HandleEffect(SendReplicaEffect aEffect);
+  void HandleEffect(PersistEffect aEffect);
+  void HandleEffect(const CommittedEffect& aEffect);
+  void HandleEffect(const InstalledEffect& aEffect);
   void ApplyEntry(const LogEntry& aEntry);
   void FinishCall(const LogEntry& aEntry, const ApplyResult& aResult);
   void CompactIfDue();
@@ -81,35 +81,35 @@
   void SendTo(const Address& aTo, ReplicaId aReplica, ReplicaMessage aMessage);
   void Notice(ControlNotice aNotice, std::string aText);
   // ControlVotes.cpp: what is told of elections
-  void NoteVoteSent(const SendReplicaEffect& aSend);
-  void NoteVoteHeard(ReplicaId aFrom, const ReplicaMessage& aMessage);
-  void NoteVoteSaved(const PersistEffect& aWrite);
+  void LogVoteSent(const SendReplicaEffect& aSend);
+  void LogVoteReceived(ReplicaId aFrom, const ReplicaMessage& aMessage);
+  void LogVoteSaved(const PersistEffect& aWrite);
 
   // ControlJoin.cpp: replicas without an identity, and the replica set
-  void NoteReplaced(const JoinRequest& aRequest);
-  void TakeJoin(const Address& aReplyTo, const JoinRequest& aRequest);
-  void TakeJoinReply(SystemId aSystem, const JoinReply& aReply);
-  void AskForIdentity();
+  void RecordReplacedReplica(const JoinRequest& aRequest);
+  void HandleJoinRequest(const Address& aReplyTo, const JoinRequest& aRequest);
+  void HandleJoinReply(SystemId aSystem, const JoinReply& aReply);
+  void RequestIdentity();
   void StartConsensus(RestoredState aState, SyncToken aLastToken);
-  bool AnswerRemoved(const ReplicaEnvelope& aEnvelope);
-  void TakeRemoved(const ReplicaEnvelope& aEnvelope);
+  bool NotifyIfRemoved(const ReplicaEnvelope& aEnvelope);
+  void HandleRemovedNotice(const ReplicaEnvelope& aEnvelope);
   void PlanReplicas();
-  void NoticeRefusal(const std::string& aText);
+  void LogJoinRefusal(const std::string& aText);
 
   // ControlEntries.cpp: sessions with entries
-  void Take(const FromEntryEvent& aEvent);
-  void TakeEntry(membership::EntryNonce aNonce,
-                 const membership::EntryHeartbeat& aHeartbeat);
-  void TakeEntry(membership::EntryNonce aNonce,
-                 const membership::SettingsPull& aPull);
-  void TakeEntry(membership::EntryNonce aNonce,
-                 const membership::EpochPull& aPull);
-  membership::HeartbeatAnswer AnswerFor(
+  void Handle(const FromEntryEvent& aEvent);
+  void HandleEntryMessage(membership::EntryNonce aNonce,
+                          const membership::EntryHeartbeat& aHeartbeat);
+  void HandleEntryMessage(membership::EntryNonce aNonce,
+                          const membership::SettingsPull& aPull);
+  void HandleEntryMessage(membership::EntryNonce aNonce,
+                          const membership::EpochPull& aPull);
+  membership::HeartbeatAnswer HeartbeatResponseFor(
     membership::EntryNonce aNonce,
     const membership::EntryHeartbeat& aHeartbeat);
-  void TakeStanding(membership::EntryNonce aNonce,
-                    const membership::EntryHeartbeat& aHeartbeat,
-                    membership::HeartbeatAnswer& aAnswer);
+  void ApplyMembershipStatus(membership::EntryNonce aNonce,
+                             const membership::EntryHeartbeat& aHeartbeat,
+                             membership::HeartbeatAnswer& aAnswer);
   void SendToEntry(membership::EntryNonce aNonce,
                    membership::ToEntryMessage aMessage);
   void PushIfBehind(membership::EntryNonce aNonce, EntrySession& aSession);
@@ -120,40 +120,40 @@
                   EntrySession& aSession,
                   EpochNumber aHave);
   void PushToAll();
-  void TakeEpochMade(const membership::EpochMap& aBefore);
-  void NoteDeparted(const membership::Member& aMember);
+  void HandleEpochCommitted(const membership::EpochMap& aBefore);
+  void RecordRemovedEntry(const membership::Member& aMember);
   void PlanEpoch();
   void ReportSilence();
 
   // ControlOperators.cpp: operators' requests
-  void Take(const OperatorEvent& aEvent);
-  void TakeRequest(CallId aCall, const EditRequest& aRequest);
-  void TakeRequest(CallId aCall, const InForceRequest& aRequest);
-  void TakeRequest(CallId aCall, const SettingsRequest& aRequest);
-  void TakeRequest(CallId aCall, const HistoryRequest& aRequest);
-  void TakeRequest(CallId aCall, const DiffRequest& aRequest);
-  void TakeRequest(CallId aCall, const DrainRequest& aRequest);
-  void TakeRequest(CallId aCall, const StatusRequest& aRequest);
-  void TakeRequest(CallId aCall, const FencingRequest& aRequest);
-  void TakeRequest(CallId aCall, const DocumentRequest& aRequest);
-  void TakeRequest(CallId aCall, const UsageRequest& aRequest);
-  void TakeRequest(CallId aCall, const QuotaFloorsRequest& aRequest);
-  void TakeRequest(CallId aCall, const QuarantineRequest& aRequest);
-  void TakeRequest(CallId aCall, const TreatRequest& aRequest);
-  void TakeRequest(CallId aCall, const RolloutStartRequest& aRequest);
-  void TakeRequest(CallId aCall, const RolloutsRequest& aRequest);
-  void TakeRequest(CallId aCall, const RolloutAbortRequest& aRequest);
-  void TakeRequest(CallId aCall, const RolloutChangeRequest& aRequest);
-  RolloutsAnswer Rollouts(const ServiceName& aService) const;
-  QuarantineAnswer Quarantined() const;
-  std::optional<EditAnswer> AnswerWithoutLog(const EditRequest& aRequest,
-                                             std::uint64_t aDigest) const;
+  void Handle(const OperatorEvent& aEvent);
+  void HandleRequest(CallId aCall, const EditRequest& aRequest);
+  void HandleRequest(CallId aCall, const InForceRequest& aRequest);
+  void HandleRequest(CallId aCall, const SettingsRequest& aRequest);
+  void HandleRequest(CallId aCall, const HistoryRequest& aRequest);
+  void HandleRequest(CallId aCall, const DiffRequest& aRequest);
+  void HandleRequest(CallId aCall, const DrainRequest& aRequest);
+  void HandleRequest(CallId aCall, const StatusRequest& aRequest);
+  void HandleRequest(CallId aCall, const FencingRequest& aRequest);
+  void HandleRequest(CallId aCall, const DocumentRequest& aRequest);
+  void HandleRequest(CallId aCall, const UsageRequest& aRequest);
+  void HandleRequest(CallId aCall, const QuotaFloorsRequest& aRequest);
+  void HandleRequest(CallId aCall, const QuarantineRequest& aRequest);
+  void HandleRequest(CallId aCall, const QuarantineChangeRequest& aRequest);
+  void HandleRequest(CallId aCall, const RolloutStartRequest& aRequest);
+  void HandleRequest(CallId aCall, const RolloutsRequest& aRequest);
+  void HandleRequest(CallId aCall, const RolloutAbortRequest& aRequest);
+  void HandleRequest(CallId aCall, const RolloutChangeRequest& aRequest);
+  RolloutsResponse Rollouts(const ServiceName& aService) const;
+  QuarantineResponse Quarantined() const;
+  std::optional<EditResponse> ResponseWithoutLog(const EditRequest& aRequest,
+                                                 std::uint64_t aDigest) const;
   void ProposeFor(CallId aCall, Command aCommand);
-  void Answer(CallId aCall, OperatorAnswer aAnswer);
-  InForceAnswer InForce(Revision aRevision) const;
-  void AnswerInForce();
+  void Answer(CallId aCall, OperatorResponse aAnswer);
+  InForceResponse InForce(Revision aRevision) const;
+  void CompleteInForceRequests();
   void FailPendingCalls();
-  StatusAnswer Status() const;
+  StatusResponse Status() const;
 
   ControlOptions mOptions;
   TimePoint mNow;
@@ -163,7 +163,7 @@
   std::optional<ReplicaIdentity> mIdentity;
   std::optional<Identity> mNewIdentity;
   /** Writes up to here were given out, also by an earlier identity. */
-  SyncToken mTokensUsed;
+  SyncToken mLastIssuedToken;
   TimePoint mAskedAt;
   std::vector<Address> mSeeds;
   std::string mLastRefusal;
@@ -172,10 +172,10 @@
   StateMachine mMachine;
   LogIndex mApplied;
   LogIndex mCompactedAt;
-  bool mHadLead = false;
+  bool mWasLeader = false;
 
   EntrySessions mSessions;
-  std::vector<Departed> mDeparted;
+  std::vector<RemovedEntry> mRemovedEntries;
   TimePoint mReportedAt;
   TimePoint mPlannedAt;
   TimePoint mExpiredAt;
--- a/src/control/ControlOperators.cpp
+++ b/src/control/ControlOperators.cpp
@@ -10,30 +10,31 @@
 using membership::Member;
 
 void
-ControlNodeState::Take(const OperatorEvent& aEvent)
+ControlNodeState::Handle(const OperatorEvent& aEvent)
 {
   const bool anyReplica =
     std::holds_alternative<StatusRequest>(aEvent.mRequest);
   // Only the lease makes an answer surely the newest: a leader that was cut
   // off without knowing it would show old settings as current ones.
   if (!anyReplica && !Leads(mNow)) {
-    Answer(aEvent.mCall, NotLeaderAnswer{ LeaderAddress() });
+    Answer(aEvent.mCall, NotLeaderResponse{ LeaderAddress() });
     return;
   }
   const std::size_t pending = mPendingCalls.size() + mPendingInForce.size();
   if (!anyReplica && pending >= mOptions.mMaxPending) {
-    Answer(aEvent.mCall, RefusedAnswer{ "too many requests under way" });
+    Answer(aEvent.mCall, RefusedResponse{ "too many requests under way" });
     return;
   }
-  std::visit([&](const auto& aRequest) { TakeRequest(aEvent.mCall, aRequest); },
-             aEvent.mRequest);
+  std::visit(
+    [&](const auto& aRequest) { HandleRequest(aEvent.mCall, aRequest); },
+    aEvent.mRequest);
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const EditRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const EditRequest& aRequest)
 {
   const std::uint64_t digest = EditDigest(aRequest.mBase, aRequest.mText);
-  if (const auto answer = AnswerWithoutLog(aRequest, digest)) {
+  if (const auto answer = ResponseWithoutLog(aRequest, digest)) {
     Answer(aCall, *answer);
     return;
   }
@@ -48,17 +49,17 @@
   ProposeFor(aCall, std::move(command));
 }
 
-std::optional<EditAnswer>
-ControlNodeState::AnswerWithoutLog(const EditRequest& aRequest,
-                                   std::uint64_t aDigest) const
+std::optional<EditResponse>
+ControlNodeState::ResponseWithoutLog(const EditRequest& aRequest,
+                                     std::uint64_t aDigest) const
 {
   if (auto known = mMachine.KnownEdit(aRequest.mEdit, aDigest)) {
     return known;
   }
-  EditAnswer invalid{ .mVerdict = EditVerdict::kInvalid,
-                      .mRevision = State().mSettings.mRevision,
-                      .mWinner = EditId(),
-                      .mReason = {} };
+  EditResponse invalid{ .mVerdict = EditVerdict::kInvalid,
+                        .mRevision = State().mSettings.mRevision,
+                        .mWinner = EditId(),
+                        .mReason = {} };
   if (!aRequest.mEdit.IsSet()) {
     invalid.mReason = "an edit needs an edit id";
     return invalid;
@@ -84,29 +85,29 @@
   if (const auto index = Propose(std::move(aCommand))) {
     mPendingCalls[*index] = PendingCall{ .mCall = aCall, .mTerm = term };
   } else {
-    Answer(aCall, NotLeaderAnswer{ LeaderAddress() });
+    Answer(aCall, NotLeaderResponse{ LeaderAddress() });
   }
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const FencingRequest&)
+ControlNodeState::HandleRequest(CallId aCall, const FencingRequest&)
 {
   ProposeFor(aCall, FencingCommand{});
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const DocumentRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const DocumentRequest& aRequest)
 {
   if (aRequest.mText.size() > mOptions.mMaxSettingsBytes) {
-    Answer(aCall, RefusedAnswer{ "the document is larger than the bound" });
+    Answer(aCall, RefusedResponse{ "the document is larger than the bound" });
     return;
   }
   const SettingsState& settings = State().mSettings;
   // What is applied is committed, and the lease says that nothing newer is.
   if (aRequest.mVersion <= settings.mDocument) {
     Answer(aCall,
-           DocumentAnswer{ .mNewest = settings.mDocument,
-                           .mRevision = settings.mRevision });
+           DocumentResponse{ .mNewest = settings.mDocument,
+                             .mRevision = settings.mRevision });
     return;
   }
   ProposeFor(aCall,
@@ -115,33 +116,35 @@
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const UsageRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const UsageRequest& aRequest)
 {
   ProposeFor(aCall, UsageCommand{ aRequest.mWindow });
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const QuotaFloorsRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall,
+                                const QuotaFloorsRequest& aRequest)
 {
   ProposeFor(aCall, QuotaFloorsCommand{ aRequest.mFloors });
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const QuarantineRequest&)
+ControlNodeState::HandleRequest(CallId aCall, const QuarantineRequest&)
 {
   Answer(aCall, Quarantined());
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const TreatRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall,
+                                const QuarantineChangeRequest& aRequest)
 {
   ProposeFor(aCall, QuarantineCommand{ aRequest.mChanges });
 }
 
-QuarantineAnswer
+QuarantineResponse
 ControlNodeState::Quarantined() const
 {
-  QuarantineAnswer answer;
+  QuarantineResponse answer;
   for (const routing::QuarantineRow& row : State().mQuarantine.mRows) {
     if (row.mChange.mStage != routing::QuarantineStage::kCleared) {
       answer.mRows.push_back(row);
@@ -151,31 +154,31 @@
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const InForceRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const InForceRequest& aRequest)
 {
   if (aRequest.mRevision > State().mSettings.mRevision) {
-    Answer(aCall, RefusedAnswer{ "that revision does not exist" });
+    Answer(aCall, RefusedResponse{ "that revision does not exist" });
     return;
   }
   mPendingInForce.push_back({ .mCall = aCall,
                               .mRevision = aRequest.mRevision,
                               .mDeadline = mNow + aRequest.mWait });
-  AnswerInForce();
+  CompleteInForceRequests();
 }
 
-InForceAnswer
+InForceResponse
 ControlNodeState::InForce(Revision aRevision) const
 {
-  InForceAnswer answer{ .mRevision = aRevision,
-                        .mInForce = false,
-                        .mMissing = {} };
+  InForceResponse answer{ .mRevision = aRevision,
+                          .mInForce = false,
+                          .mMissing = {} };
   for (const Member& member : State().mMembership.mCurrent.mMembers) {
     const EntrySession* session = mSessions.SessionOf(member.mId);
     if (session == nullptr || session->mInForce < aRevision) {
       answer.mMissing.push_back(member.mName);
     }
   }
-  for (const Departed& departed : mDeparted) {
+  for (const RemovedEntry& departed : mRemovedEntries) {
     if (departed.mInForce < aRevision && departed.mUntil > mNow) {
       answer.mMissing.push_back(departed.mName);
     }
@@ -185,10 +188,10 @@
 }
 
 void
-ControlNodeState::AnswerInForce()
+ControlNodeState::CompleteInForceRequests()
 {
   std::erase_if(mPendingInForce, [&](const PendingInForce& aPending) {
-    InForceAnswer answer = InForce(aPending.mRevision);
+    InForceResponse answer = InForce(aPending.mRevision);
     if (!answer.mInForce && mNow < aPending.mDeadline) {
       return false;
     }
@@ -198,25 +201,26 @@
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const SettingsRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const SettingsRequest& aRequest)
 {
   const Revision revision =
     aRequest.mRevision.value_or(State().mSettings.mRevision);
   LastReason reason;
   const auto kept = mMachine.TextAt(revision, reason);
   if (auto text = kept ? UnpackText(*kept) : std::nullopt) {
-    Answer(aCall,
-           SettingsAnswer{ .mRevision = revision, .mText = std::move(*text) });
+    Answer(
+      aCall,
+      SettingsResponse{ .mRevision = revision, .mText = std::move(*text) });
   } else {
-    Answer(aCall, RefusedAnswer{ reason.Text() });
+    Answer(aCall, RefusedResponse{ reason.Text() });
   }
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const HistoryRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const HistoryRequest& aRequest)
 {
   const auto& history = State().mSettings.mHistory;
-  HistoryAnswer answer;
+  HistoryResponse answer;
   for (auto change = history.rbegin();
        change != history.rend() && answer.mChanges.size() < aRequest.mLimit;
        ++change) {
@@ -226,22 +230,22 @@
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const DiffRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const DiffRequest& aRequest)
 {
   LastReason reason;
   auto from = mMachine.TextAt(aRequest.mFrom, reason);
   auto to = from ? mMachine.TextAt(aRequest.mTo, reason) : std::nullopt;
   if (!to) {
-    Answer(aCall, RefusedAnswer{ reason.Text() });
+    Answer(aCall, RefusedResponse{ reason.Text() });
     return;
   }
   Answer(
     aCall,
-    DiffAnswer{ .mFromText = std::move(*from), .mToText = std::move(*to) });
+    DiffResponse{ .mFromText = std::move(*from), .mToText = std::move(*to) });
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const DrainRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const DrainRequest& aRequest)
 {
   const auto& current = State().mMembership.mCurrent;
   const auto member = std::find_if(
@@ -250,28 +254,28 @@
     });
   if (member == current.mMembers.end()) {
     Answer(aCall,
-           RefusedAnswer{ "no entry " + aRequest.mEntry.Value() +
-                          " among the members" });
+           RefusedResponse{ "no entry " + aRequest.mEntry.Value() +
+                            " among the members" });
   } else if (member->mState == membership::MemberState::kDraining) {
     Answer(aCall,
-           DrainAnswer{ .mMember = member->mId, .mEpoch = current.mEpoch });
+           DrainResponse{ .mMember = member->mId, .mEpoch = current.mEpoch });
   } else {
-    mEpochPlanner->TakeDrain(member->mId);
+    mEpochPlanner->HandleDrain(member->mId);
     mPendingDrains[member->mId].push_back(aCall);
     PlanEpoch();
   }
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const StatusRequest&)
+ControlNodeState::HandleRequest(CallId aCall, const StatusRequest&)
 {
   Answer(aCall, Status());
 }
 
-StatusAnswer
+StatusResponse
 ControlNodeState::Status() const
 {
-  StatusAnswer status;
+  StatusResponse status;
   status.mSelf = Self();
   status.mRevision = State().mSettings.mRevision;
   status.mEpoch = State().mMembership.mCurrent.mEpoch;
@@ -304,16 +308,16 @@
 }
 
 void
-ControlNodeState::Answer(CallId aCall, OperatorAnswer aAnswer)
+ControlNodeState::Answer(CallId aCall, OperatorResponse aAnswer)
 {
-  mEffects.emplace_back(AnswerEffect{ aCall, std::move(aAnswer) });
+  mEffects.emplace_back(ResponseEffect{ aCall, std::move(aAnswer) });
 }
 
 void
 ControlNodeState::FailPendingCalls()
 {
   const auto uncertain = [&](CallId aCall) {
-    Answer(aCall, UncertainAnswer{ LeaderAddress() });
+    Answer(aCall, UncertainResponse{ LeaderAddress() });
   };
   for (const auto& [index, pending] : mPendingCalls) {
     uncertain(pending.mCall);
@@ -322,7 +326,7 @@
     std::for_each(calls.begin(), calls.end(), uncertain);
   }
   for (const PendingInForce& pending : mPendingInForce) {
-    Answer(pending.mCall, NotLeaderAnswer{ LeaderAddress() });
+    Answer(pending.mCall, NotLeaderResponse{ LeaderAddress() });
   }
   mPendingCalls.clear();
   mPendingDrains.clear();
--- a/src/control/ControlRollouts.cpp
+++ b/src/control/ControlRollouts.cpp
@@ -7,23 +7,25 @@
 namespace peridotspool::control {
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const RolloutStartRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall,
+                                const RolloutStartRequest& aRequest)
 {
   ProposeFor(aCall, RolloutCommand{ aRequest.mOrder });
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const RolloutsRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall, const RolloutsRequest& aRequest)
 {
   Answer(aCall, Rollouts(aRequest.mService));
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall, const RolloutAbortRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall,
+                                const RolloutAbortRequest& aRequest)
 {
   const rollout::Rollout* latest = State().mRollouts.Latest(aRequest.mService);
   if (latest == nullptr || !latest->IsRunning()) {
-    Answer(aCall, RefusedAnswer{ "no rollout is running for that service" });
+    Answer(aCall, RefusedResponse{ "no rollout is running for that service" });
     return;
   }
   ProposeFor(aCall,
@@ -35,18 +37,18 @@
 }
 
 void
-ControlNodeState::TakeRequest(CallId aCall,
-                              const RolloutChangeRequest& aRequest)
+ControlNodeState::HandleRequest(CallId aCall,
+                                const RolloutChangeRequest& aRequest)
 {
   std::visit(
     [&](const auto& aChange) { ProposeFor(aCall, RolloutCommand{ aChange }); },
     aRequest.mChange);
 }
 
-RolloutsAnswer
+RolloutsResponse
 ControlNodeState::Rollouts(const ServiceName& aService) const
 {
-  RolloutsAnswer answer;
+  RolloutsResponse answer;
   for (const rollout::Rollout& rollout : State().mRollouts.mRollouts) {
     if (!aService.IsSet() || rollout.mOrder.mService == aService) {
       answer.mRollouts.push_back(rollout);
--- a/src/control/ControlVotes.cpp
+++ b/src/control/ControlVotes.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-ControlNodeState::NoteVoteSent(const SendReplicaEffect& aSend)
+ControlNodeState::LogVoteSent(const SendReplicaEffect& aSend)
 {
   if (const auto* request = std::get_if<VoteRequest>(&aSend.mMessage)) {
     Notice(ControlNotice::kVoteAsked,
@@ -39,7 +39,8 @@
 
 // A request without an answer was dropped: this replica hears a leader.
 void
-ControlNodeState::NoteVoteHeard(ReplicaId aFrom, const ReplicaMessage& aMessage)
+ControlNodeState::LogVoteReceived(ReplicaId aFrom,
+                                  const ReplicaMessage& aMessage)
 {
   if (const auto* request = std::get_if<VoteRequest>(&aMessage)) {
     Notice(ControlNotice::kVoteHeard,
@@ -49,7 +50,7 @@
 }
 
 void
-ControlNodeState::NoteVoteSaved(const PersistEffect& aWrite)
+ControlNodeState::LogVoteSaved(const PersistEffect& aWrite)
 {
   if (aWrite.mVote) {
     Notice(ControlNotice::kVoteSaved,
--- a/src/control/EntrySessions.cpp
+++ b/src/control/EntrySessions.cpp
@@ -14,9 +14,9 @@
 }
 
 EntrySession*
-EntrySessions::Take(membership::EntryNonce aNonce,
-                    const membership::EntryHeartbeat& aHeartbeat,
-                    TimePoint aNow)
+EntrySessions::RecordHeartbeat(membership::EntryNonce aNonce,
+                               const membership::EntryHeartbeat& aHeartbeat,
+                               TimePoint aNow)
 {
   EntrySession* session = Find(aNonce);
   if (session == nullptr) {
@@ -57,7 +57,7 @@
 }
 
 void
-EntrySessions::TakeMembers(
+EntrySessions::UpdateMembers(
   const std::map<membership::EntryNonce, MemberId>& aNonces,
   TimePoint aNow)
 {
--- a/src/control/EntrySessions.h
+++ b/src/control/EntrySessions.h
@@ -44,9 +44,9 @@
   explicit EntrySessions(std::size_t aMaxSessions);
 
   /** Takes a heartbeat; returns null when the table is full. */
-  EntrySession* Take(membership::EntryNonce aNonce,
-                     const membership::EntryHeartbeat& aHeartbeat,
-                     TimePoint aNow);
+  EntrySession* RecordHeartbeat(membership::EntryNonce aNonce,
+                                const membership::EntryHeartbeat& aHeartbeat,
+                                TimePoint aNow);
   EntrySession* Find(membership::EntryNonce aNonce);
   const EntrySession* Find(membership::EntryNonce aNonce) const;
   std::unordered_map<membership::EntryNonce, EntrySession>& All()
@@ -59,8 +59,8 @@
   }
 
   /** Takes the current members: new ones count as heard now. */
-  void TakeMembers(const std::map<membership::EntryNonce, MemberId>& aNonces,
-                   TimePoint aNow);
+  void UpdateMembers(const std::map<membership::EntryNonce, MemberId>& aNonces,
+                     TimePoint aNow);
   MemberView* Member(MemberId aMember);
   const MemberView* Member(MemberId aMember) const;
   const std::map<MemberId, MemberView>& Members() const { return mMembers; }
--- a/src/control/EpochPlanner.cpp
+++ b/src/control/EpochPlanner.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 /** A report of another replica counts for this long. */
-constexpr Duration kReportAge = std::chrono::seconds(1);
+constexpr Duration kMaxReportAge = std::chrono::seconds(1);
 /** A process heard within this time is taken for alive. */
-constexpr Duration kHeardLately = std::chrono::milliseconds(650);
+constexpr Duration kRecentlyHeardTimeout = std::chrono::milliseconds(650);
 /** A name that stayed for this long starts without backoff again. */
-constexpr Duration kForgetRejoin = std::chrono::minutes(2);
+constexpr Duration kRejoinBackoffReset = std::chrono::minutes(2);
 
 } // namespace
 
@@ -31,9 +31,9 @@
 }
 
 void
-EpochPlanner::TakeReport(ReplicaId aFrom,
-                         const SilenceReport& aReport,
-                         TimePoint aNow)
+EpochPlanner::HandleSilenceReport(ReplicaId aFrom,
+                                  const SilenceReport& aReport,
+                                  TimePoint aNow)
 {
   Report& report = mReports[aFrom];
   report.mReceivedAt = aNow;
@@ -44,7 +44,7 @@
 }
 
 void
-EpochPlanner::TakeDrain(MemberId aMember)
+EpochPlanner::HandleDrain(MemberId aMember)
 {
   mDrains.insert(aMember);
 }
@@ -68,11 +68,11 @@
     // A process that comes and goes would make two epochs for each flap, and
     // every epoch moves shards. It waits longer each time.
     Rejoin& rejoin = mRejoins[member->mName];
-    const bool quiet = aNow > rejoin.mNotBefore + kForgetRejoin;
+    const bool quiet = aNow > rejoin.mNotBefore + kRejoinBackoffReset;
     rejoin.mBackoff =
       quiet || rejoin.mBackoff == Duration(0)
         ? mOptions.mRejoinBackoff
-        : std::min(rejoin.mBackoff * 2, mOptions.mRejoinBackoffMost);
+        : std::min(rejoin.mBackoff * 2, mOptions.mMaxRejoinBackoff);
     rejoin.mNotBefore = aNow + rejoin.mBackoff;
   }
 }
@@ -84,7 +84,7 @@
 }
 
 std::vector<MemberId>
-EpochPlanner::TakeNewlySilent()
+EpochPlanner::ExtractNewlySilent()
 {
   return std::exchange(mNewlySilent, {});
 }
@@ -120,7 +120,8 @@
       ? 1
       : 0;
   for (const auto& [replica, report] : mReports) {
-    if (!aReplicas.IsVoter(replica) || mNow - report.mReceivedAt > kReportAge) {
+    if (!aReplicas.IsVoter(replica) ||
+        mNow - report.mReceivedAt > kMaxReportAge) {
       continue;
     }
     const auto silent = report.mSilent.find(aMember);
@@ -212,7 +213,7 @@
                       const MembershipState& aState) const
 {
   if (!aSession.mProfile || aSession.mLeaving ||
-      mNow - aSession.mHeardAt > kHeardLately) {
+      mNow - aSession.mHeardAt > kRecentlyHeardTimeout) {
     return false;
   }
   const EntryName& name = aSession.mProfile->mName;
@@ -225,7 +226,7 @@
     members.begin(), members.end(), [&](const Member& aMember) {
       const MemberView* view = aSessions.Member(aMember.mId);
       return aMember.mName == name && view != nullptr &&
-             mNow - view->mHeardAt <= kHeardLately;
+             mNow - view->mHeardAt <= kRecentlyHeardTimeout;
     });
 }
 
--- a/src/control/EpochPlanner.h
+++ b/src/control/EpochPlanner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "control/EntrySessions.h"
-#include "control/SuspectCount.h"
+#include "control/SuspectTracker.h"
 #include "peridotspool/control/Command.h"
 #include "peridotspool/control/ControlOptions.h"
 #include "peridotspool/control/MembershipState.h"
@@ -28,11 +28,11 @@
                TimePoint aLeaderSince);
 
   /** Another replica tells whom it doesn't hear. */
-  void TakeReport(ReplicaId aFrom,
-                  const SilenceReport& aReport,
-                  TimePoint aNow);
+  void HandleSilenceReport(ReplicaId aFrom,
+                           const SilenceReport& aReport,
+                           TimePoint aNow);
   /** An operator wants this member to leave. */
-  void TakeDrain(MemberId aMember);
+  void HandleDrain(MemberId aMember);
   /** An epoch was committed. */
   void TakeEpoch(const membership::EpochChange& aChange,
                  const membership::EpochMap& aBefore,
@@ -42,7 +42,7 @@
   bool IsWithheld(MemberId aMember) const;
 
   /** Returns members that a majority has stopped hearing, each once. */
-  std::vector<MemberId> TakeNewlySilent();
+  std::vector<MemberId> ExtractNewlySilent();
 
   /** Returns what is to be committed now, if anything. */
   std::optional<MembershipCommand> Plan(EntrySessions& aSessions,
@@ -85,7 +85,7 @@
   TimePoint mLeaderSince;
   TimePoint mNow;
   std::map<ReplicaId, Report> mReports;
-  SuspectCount mSuspects;
+  SuspectTracker mSuspects;
   std::set<MemberId> mWithheld;
   std::vector<MemberId> mNewlySilent;
   std::set<MemberId> mDrains;
--- a/src/control/ReplicaSetPlanner.cpp
+++ b/src/control/ReplicaSetPlanner.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /** A joining replica asks again within this time, or has given up. */
-constexpr Duration kAskedLately = std::chrono::seconds(3);
+constexpr Duration kJoinRequestTimeout = std::chrono::seconds(3);
 /** A learner this close to the log's end has caught up. */
-constexpr std::uint64_t kCaughtUpWithin = 16;
+constexpr std::uint64_t kMaxCaughtUpLag = 16;
 
 const ReplicaInfo*
 FindNonce(const ReplicaSet& aSet, JoinNonce aNonce)
@@ -75,9 +75,9 @@
 }
 
 void
-ReplicaSetPlanner::TakeJoin(const JoinRequest& aRequest,
-                            const Address& aReplyTo,
-                            TimePoint aNow)
+ReplicaSetPlanner::HandleJoinRequest(const JoinRequest& aRequest,
+                                     const Address& aReplyTo,
+                                     TimePoint aNow)
 {
   mPending[aRequest.mNonce] = { aRequest, aReplyTo, aNow };
 }
@@ -107,8 +107,8 @@
 // Only one process can listen at an address: one that asks for an identity
 // from there is proof that the earlier process is gone, without a wait.
 bool
-ReplicaSetPlanner::IsReborn(const ReplicaInfo& aEarlier,
-                            const JoinRequest& aRequest) const
+ReplicaSetPlanner::ReplacesEndedProcess(const ReplicaInfo& aEarlier,
+                                        const JoinRequest& aRequest) const
 {
   return mOptions.mReplaceSilentAfter && aEarlier.mAddress == aRequest.mAddress;
 }
@@ -136,7 +136,7 @@
   const auto found = aConsensus.Progress().find(aReplica);
   return found != aConsensus.Progress().end() &&
          IsAlive(aConsensus, aReplica) && found->second.mMatch.IsSet() &&
-         found->second.mMatch.Value() + kCaughtUpWithin >=
+         found->second.mMatch.Value() + kMaxCaughtUpLag >=
            aConsensus.LastIndex().Value();
 }
 
@@ -149,7 +149,7 @@
   const ReplicaSet& set = aConsensus.Replicas();
   const ReplicaInfo* earlier =
     FindEarlier(set, aRequest.mName, aRequest.mNonce);
-  if (earlier != nullptr && !IsReborn(*earlier, aRequest) &&
+  if (earlier != nullptr && !ReplacesEndedProcess(*earlier, aRequest) &&
       IsAlive(aConsensus, earlier->mId)) {
     return "replica " + aRequest.mName.Value() + " is alive with identity " +
            std::to_string(earlier->mId.Value());
@@ -163,20 +163,20 @@
   return {};
 }
 
-std::vector<JoinVerdict>
-ReplicaSetPlanner::Verdicts(const Consensus& aConsensus, TimePoint aNow)
+std::vector<JoinDecision>
+ReplicaSetPlanner::ExtractDecisions(const Consensus& aConsensus, TimePoint aNow)
 {
   mNow = aNow;
   std::erase_if(mPending, [&](const auto& aPair) {
-    return aNow - aPair.second.mAskedAt > kAskedLately;
+    return aNow - aPair.second.mAskedAt > kJoinRequestTimeout;
   });
-  std::vector<JoinVerdict> verdicts;
+  std::vector<JoinDecision> verdicts;
   for (auto pending = mPending.begin(); pending != mPending.end();) {
     const JoinRequest& request = pending->second.mRequest;
-    JoinVerdict verdict{ .mRequest = request,
-                         .mReplyTo = pending->second.mReplyTo,
-                         .mReplica = {},
-                         .mReason = {} };
+    JoinDecision verdict{ .mRequest = request,
+                          .mReplyTo = pending->second.mReplyTo,
+                          .mReplica = {},
+                          .mReason = {} };
     const ReplicaInfo* known = FindNonce(aConsensus.Replicas(), request.mNonce);
     if (known != nullptr && aConsensus.ReplicaSetSettled()) {
       verdict.mReplica = known->mId;
--- a/src/control/ReplicaSetPlanner.h
+++ b/src/control/ReplicaSetPlanner.h
@@ -21,7 +21,7 @@
 };
 
 /** A join that can be answered now. */
-struct JoinVerdict
+struct JoinDecision
 {
   JoinRequest mRequest;
   Address mReplyTo;
@@ -50,13 +50,13 @@
 public:
   ReplicaSetPlanner(ReplicaSetPlannerOptions aOptions, TimePoint aLeaderSince);
 
-  void TakeJoin(const JoinRequest& aRequest,
-                const Address& aReplyTo,
-                TimePoint aNow);
+  void HandleJoinRequest(const JoinRequest& aRequest,
+                         const Address& aReplyTo,
+                         TimePoint aNow);
 
   /** Returns joins that are settled, and forgets them. */
-  std::vector<JoinVerdict> Verdicts(const Consensus& aConsensus,
-                                    TimePoint aNow);
+  std::vector<JoinDecision> ExtractDecisions(const Consensus& aConsensus,
+                                             TimePoint aNow);
   /** Returns the next replica set to be committed, if any. */
   std::optional<ReplicaSet> Plan(const Consensus& aConsensus, TimePoint aNow);
 
@@ -65,7 +65,8 @@
   bool IsSilentFor(const Consensus& aConsensus,
                    ReplicaId aReplica,
                    Duration aTime) const;
-  bool IsReborn(const ReplicaInfo& aEarlier, const JoinRequest& aRequest) const;
+  bool ReplacesEndedProcess(const ReplicaInfo& aEarlier,
+                            const JoinRequest& aRequest) const;
   const ReplicaInfo* FindLost(const Consensus& aConsensus, bool aVoter) const;
   bool HasCaughtUp(const Consensus& aConsensus, ReplicaId aReplica) const;
   std::string Refusal(const Consensus& aConsensus,
--- a/src/control/ReplicatedLog.cpp
+++ b/src/control/ReplicatedLog.cpp
@@ -47,10 +47,10 @@
 }
 
 std::vector<LogEntry>
-ReplicatedLog::Slice(LogIndex aFrom, std::size_t aMost) const
+ReplicatedLog::Slice(LogIndex aFrom, std::size_t aMaxCount) const
 {
   std::vector<LogEntry> entries;
-  for (LogIndex index = aFrom; Holds(index) && entries.size() < aMost;
+  for (LogIndex index = aFrom; Holds(index) && entries.size() < aMaxCount;
        index = index.Next()) {
     entries.push_back(At(index));
   }
--- a/src/control/StateMachine.cpp
+++ b/src/control/StateMachine.cpp
@@ -14,24 +14,24 @@
 ApplyResult
 StateMachine::Apply(const Command& aCommand)
 {
-  return std::visit([this](const auto& aOne) { return ApplyOne(aOne); },
+  return std::visit([this](const auto& aOne) { return ApplyCommand(aOne); },
                     aCommand);
 }
 
 ApplyResult
-StateMachine::ApplyOne(const NoopCommand&)
+StateMachine::ApplyCommand(const NoopCommand&)
 {
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const ReplicaSetCommand&)
+StateMachine::ApplyCommand(const ReplicaSetCommand&)
 {
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const FencingCommand&)
+StateMachine::ApplyCommand(const FencingCommand&)
 {
   mState.mLastFencing = mState.mLastFencing.Next();
   return mState.mLastFencing;
@@ -39,7 +39,7 @@
 
 // The first counts of a window stay: they may have been told already.
 ApplyResult
-StateMachine::ApplyOne(const UsageCommand& aCommand)
+StateMachine::ApplyCommand(const UsageCommand& aCommand)
 {
   auto& usage = mState.mUsage;
   if (usage.empty() || aCommand.mWindow.mNumber > usage.back().mNumber) {
@@ -48,20 +48,20 @@
       usage.erase(usage.begin());
     }
   }
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const QuotaFloorsCommand& aCommand)
+StateMachine::ApplyCommand(const QuotaFloorsCommand& aCommand)
 {
   if (aCommand.mFloors.mNumber > mState.mQuotaFloors.mNumber) {
     mState.mQuotaFloors = aCommand.mFloors;
   }
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const QuarantineCommand& aCommand)
+StateMachine::ApplyCommand(const QuarantineCommand& aCommand)
 {
   for (const routing::QuarantineChange& change : aCommand.mChanges) {
     mState.mQuarantine.Apply(change);
@@ -70,7 +70,7 @@
 }
 
 ApplyResult
-StateMachine::ApplyOne(const RolloutCommand& aCommand)
+StateMachine::ApplyCommand(const RolloutCommand& aCommand)
 {
   return std::visit([this](const auto& aOne) { return ApplyRollout(aOne); },
                     aCommand.mChange);
@@ -97,7 +97,7 @@
 StateMachine::ApplyRollout(const rollout::RolloutAdvance& aAdvance)
 {
   mState.mRollouts.Advance(aAdvance);
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 } // namespace peridotspool::control
--- a/src/control/StateMachineMembership.cpp
+++ b/src/control/StateMachineMembership.cpp
@@ -119,7 +119,7 @@
 } // namespace
 
 ApplyResult
-StateMachine::ApplyOne(const MembershipCommand& aCommand)
+StateMachine::ApplyCommand(const MembershipCommand& aCommand)
 {
   MembershipState& state = mState.mMembership;
   EpochChange change;
--- a/src/control/StateMachineSettings.cpp
+++ b/src/control/StateMachineSettings.cpp
@@ -7,7 +7,7 @@
 namespace peridotspool::control {
 
 ApplyResult
-StateMachine::ApplyOne(const EditCommand& aCommand)
+StateMachine::ApplyCommand(const EditCommand& aCommand)
 {
   // A resent edit must not be judged anew: its base is old by now, so it would
   // be told that it lost, to itself. The kept answer survives a leader change
@@ -15,12 +15,12 @@
   if (const auto known = KnownEdit(aCommand.mEdit, aCommand.mDigest)) {
     return *known;
   }
-  const EditAnswer answer = Judge(aCommand);
+  const EditResponse answer = Judge(aCommand);
   Remember(aCommand, answer);
   return answer;
 }
 
-EditAnswer
+EditResponse
 StateMachine::Judge(const EditCommand& aCommand)
 {
   SettingsState& settings = mState.mSettings;
@@ -30,16 +30,16 @@
   LastReason reason;
   auto text = ApplyDelta(settings.mText, aCommand.mDelta, reason);
   if (!text) {
-    return EditAnswer{ .mVerdict = EditVerdict::kInvalid,
-                       .mRevision = settings.mRevision,
-                       .mWinner = EditId(),
-                       .mReason = reason.Text() };
+    return EditResponse{ .mVerdict = EditVerdict::kInvalid,
+                         .mRevision = settings.mRevision,
+                         .mWinner = EditId(),
+                         .mReason = reason.Text() };
   }
   ReplaceText(std::move(*text), aCommand.mEdit, aCommand.mAuthor);
-  return EditAnswer{ .mVerdict = EditVerdict::kCommitted,
-                     .mRevision = settings.mRevision,
-                     .mWinner = EditId(),
-                     .mReason = {} };
+  return EditResponse{ .mVerdict = EditVerdict::kCommitted,
+                       .mRevision = settings.mRevision,
+                       .mWinner = EditId(),
+                       .mReason = {} };
 }
 
 void
@@ -62,7 +62,7 @@
 // in the log; what it overtakes is answered as accepted, because a refusal
 // would contradict an acknowledgement that was given before.
 ApplyResult
-StateMachine::ApplyOne(const DocumentCommand& aCommand)
+StateMachine::ApplyCommand(const DocumentCommand& aCommand)
 {
   SettingsState& settings = mState.mSettings;
   if (aCommand.mVersion > settings.mDocument) {
@@ -74,14 +74,15 @@
   return DocumentApplied{ settings.mDocument };
 }
 
-EditAnswer
+EditResponse
 StateMachine::ConflictOf(Revision aBase) const
 {
   const SettingsState& settings = mState.mSettings;
-  EditAnswer answer{ .mVerdict = EditVerdict::kConflict,
-                     .mRevision = settings.mRevision,
-                     .mWinner = EditId(),
-                     .mReason = "the base is too old to say who replaced it" };
+  EditResponse answer{ .mVerdict = EditVerdict::kConflict,
+                       .mRevision = settings.mRevision,
+                       .mWinner = EditId(),
+                       .mReason =
+                         "the base is too old to say who replaced it" };
   if (aBase > settings.mRevision) {
     answer.mVerdict = EditVerdict::kInvalid;
     answer.mReason = "revision " + std::to_string(aBase.Value()) +
@@ -101,7 +102,7 @@
   return answer;
 }
 
-std::optional<EditAnswer>
+std::optional<EditResponse>
 StateMachine::KnownEdit(const EditId& aEdit, std::uint64_t aDigest) const
 {
   const auto known = mState.mSettings.mEdits.find(aEdit);
@@ -109,17 +110,17 @@
     return std::nullopt;
   }
   if (known->second.mDigest != aDigest) {
-    return EditAnswer{ .mVerdict = EditVerdict::kEditIdReused,
-                       .mRevision = mState.mSettings.mRevision,
-                       .mWinner = EditId(),
-                       .mReason = "edit id " + aEdit.Value() +
-                                  " belongs to another edit" };
+    return EditResponse{ .mVerdict = EditVerdict::kEditIdReused,
+                         .mRevision = mState.mSettings.mRevision,
+                         .mWinner = EditId(),
+                         .mReason = "edit id " + aEdit.Value() +
+                                    " belongs to another edit" };
   }
   return known->second.mAnswer;
 }
 
 void
-StateMachine::Remember(const EditCommand& aCommand, const EditAnswer& aAnswer)
+StateMachine::Remember(const EditCommand& aCommand, const EditResponse& aAnswer)
 {
   SettingsState& settings = mState.mSettings;
   settings.mEdits[aCommand.mEdit] = { .mDigest = aCommand.mDigest,
--- a/src/control/SuspectCount.cpp
+++ b/src/control/SuspectTracker.cpp
@@ -1,17 +1,17 @@
-#include "control/SuspectCount.h"
+#include "control/SuspectTracker.h"
 
 namespace peridotspool::control {
 
 namespace {
 
 /** Only what was reported within this time counts. */
-constexpr Duration kReportAge = std::chrono::milliseconds(650);
-constexpr std::size_t kLeastReporters = 2;
-constexpr std::size_t kLeastDomains = 2;
+constexpr Duration kMaxReportAge = std::chrono::milliseconds(650);
+constexpr std::size_t kMinReporters = 2;
+constexpr std::size_t kMinDomains = 2;
 
 } // namespace
 
-SuspectCount::SuspectCount(Duration aTimeout)
+SuspectTracker::SuspectTracker(Duration aTimeout)
   : mTimeout(aTimeout)
 {
 }
@@ -22,14 +22,14 @@
 // out only the one with most reporters leaves the other half with fewer, so
 // that one half goes member by member and the other one stays whole.
 void
-SuspectCount::Update(const EntrySessions& aSessions,
-                     const membership::EpochMap& aMembers,
-                     TimePoint aNow)
+SuspectTracker::Update(const EntrySessions& aSessions,
+                       const membership::EpochMap& aMembers,
+                       TimePoint aNow)
 {
   std::map<MemberId, Suspect> suspects;
   for (const membership::Member& member : aMembers.mMembers) {
     const EntrySession* session = aSessions.SessionOf(member.mId);
-    if (session == nullptr || aNow - session->mHeardAt > kReportAge) {
+    if (session == nullptr || aNow - session->mHeardAt > kMaxReportAge) {
       continue;
     }
     for (const MemberId suspected : session->mSuspected) {
@@ -38,8 +38,8 @@
     }
   }
   std::erase_if(suspects, [&](const auto& aPair) {
-    return aPair.second.mReporters < kLeastReporters ||
-           aPair.second.mDomains.size() < kLeastDomains ||
+    return aPair.second.mReporters < kMinReporters ||
+           aPair.second.mDomains.size() < kMinDomains ||
            aSessions.Member(aPair.first) == nullptr;
   });
   std::erase_if(
--- a/src/control/SuspectCount.h
+++ b/src/control/SuspectTracker.h
@@ -13,10 +13,10 @@
  * Finds members that reach the control replicas, but not their peers. What a
  * single entry, or a single failure domain, says of another is never enough.
  */
-class SuspectCount
+class SuspectTracker
 {
 public:
-  explicit SuspectCount(Duration aTimeout);
+  explicit SuspectTracker(Duration aTimeout);
 
   /** Takes what the members report now. */
   void Update(const EntrySessions& aSessions,
--- a/src/http/OperatorApi.cpp
+++ b/src/http/OperatorApi.cpp
@@ -134,7 +134,7 @@
                        "expected the 32 digits that the list shows");
   }
   return control::OperatorRequest(
-    control::TreatRequest{ { { .mContent = *content } } });
+    control::QuarantineChangeRequest{ { { .mContent = *content } } });
 }
 
 HttpResponse
@@ -185,7 +185,7 @@
 }
 
 HttpResponse
-Write(const control::EditAnswer& aAnswer)
+Write(const control::EditResponse& aAnswer)
 {
   const char* verdict =
     boost::describe::enum_to_string(aAnswer.mVerdict, "unknown");
@@ -204,7 +204,7 @@
 }
 
 HttpResponse
-Write(const control::InForceAnswer& aAnswer)
+Write(const control::InForceResponse& aAnswer)
 {
   return JsonAnswer({ { "revision", aAnswer.mRevision.Value() },
                       { "in_force", aAnswer.mInForce },
@@ -212,14 +212,14 @@
 }
 
 HttpResponse
-Write(const control::SettingsAnswer& aAnswer)
+Write(const control::SettingsResponse& aAnswer)
 {
   return JsonAnswer(
     { { "revision", aAnswer.mRevision.Value() }, { "text", aAnswer.mText } });
 }
 
 HttpResponse
-Write(const control::HistoryAnswer& aAnswer)
+Write(const control::HistoryResponse& aAnswer)
 {
   json::array changes;
   for (const auto& change : aAnswer.mChanges) {
@@ -231,21 +231,21 @@
 }
 
 HttpResponse
-Write(const control::DiffAnswer& aAnswer)
+Write(const control::DiffResponse& aAnswer)
 {
   return JsonAnswer(
     { { "from", aAnswer.mFromText }, { "to", aAnswer.mToText } });
 }
 
 HttpResponse
-Write(const control::DrainAnswer& aAnswer)
+Write(const control::DrainResponse& aAnswer)
 {
   return JsonAnswer({ { "member", aAnswer.mMember.Value() },
                       { "epoch", aAnswer.mEpoch.Value() } });
 }
 
 HttpResponse
-Write(const control::StatusAnswer& aAnswer)
+Write(const control::StatusResponse& aAnswer)
 {
   json::array replicas;
   for (const auto& replica : aAnswer.mReplicas) {
@@ -267,20 +267,20 @@
 }
 
 HttpResponse
-Write(const control::FencingAnswer& aAnswer)
+Write(const control::FencingResponse& aAnswer)
 {
   return JsonAnswer({ { "fencing", aAnswer.mNumber.Value() } });
 }
 
 HttpResponse
-Write(const control::DocumentAnswer& aAnswer)
+Write(const control::DocumentResponse& aAnswer)
 {
   return JsonAnswer({ { "version", aAnswer.mNewest },
                       { "revision", aAnswer.mRevision.Value() } });
 }
 
 HttpResponse
-Write(const control::QuarantineAnswer& aAnswer)
+Write(const control::QuarantineResponse& aAnswer)
 {
   json::array contents;
   for (const routing::QuarantineRow& row : aAnswer.mRows) {
@@ -303,19 +303,19 @@
 }
 
 HttpResponse
-Write(const control::RolloutOrderAnswer& aAnswer)
+Write(const control::RolloutOrderResponse& aAnswer)
 {
   return WriteRolloutAnswer(aAnswer);
 }
 
 HttpResponse
-Write(const control::RolloutsAnswer& aAnswer)
+Write(const control::RolloutsResponse& aAnswer)
 {
   return WriteRolloutAnswer(aAnswer);
 }
 
 HttpResponse
-Write(const control::RefusedAnswer& aAnswer)
+Write(const control::RefusedResponse& aAnswer)
 {
   return MakeErrorResponse(kStatusUnprocessable, "refused", aAnswer.mReason);
 }
@@ -380,15 +380,15 @@
 }
 
 HttpResponse
-WriteOperatorAnswer(const control::OperatorAnswer& aAnswer,
+WriteOperatorAnswer(const control::OperatorResponse& aAnswer,
                     const FindHttpAddress& aFindHttp)
 {
   return std::visit(
-    Overloaded{ [&](const control::NotLeaderAnswer& aOne) {
+    Overloaded{ [&](const control::NotLeaderResponse& aOne) {
                  return WriteElsewhere(
                    "not-leader", kStatusMisdirected, aOne.mLeader, aFindHttp);
                },
-                [&](const control::UncertainAnswer& aOne) {
+                [&](const control::UncertainResponse& aOne) {
                   return WriteElsewhere(
                     "uncertain", kStatusUnavailable, aOne.mLeader, aFindHttp);
                 },
--- a/src/http/RolloutApi.cpp
+++ b/src/http/RolloutApi.cpp
@@ -126,7 +126,7 @@
 }
 
 HttpResponse
-WriteRolloutAnswer(const control::RolloutOrderAnswer& aAnswer)
+WriteRolloutAnswer(const control::RolloutOrderResponse& aAnswer)
 {
   const bool isTaken = aAnswer.mVerdict == rollout::OrderVerdict::kStarted ||
                        aAnswer.mVerdict == rollout::OrderVerdict::kRepeated;
@@ -136,7 +136,7 @@
 }
 
 HttpResponse
-WriteRolloutAnswer(const control::RolloutsAnswer& aAnswer)
+WriteRolloutAnswer(const control::RolloutsResponse& aAnswer)
 {
   json::array rollouts;
   for (const rollout::Rollout& one : aAnswer.mRollouts) {
--- a/src/runtime/ControlDecider.cpp
+++ b/src/runtime/ControlDecider.cpp
@@ -157,9 +157,10 @@
 }
 
 void
-ControlDecider::LogOrder(const control::OperatorAnswer& aAnswer)
+ControlDecider::LogOrder(const control::OperatorResponse& aAnswer)
 {
-  if (const auto* order = std::get_if<control::RolloutOrderAnswer>(&aAnswer)) {
+  if (const auto* order =
+        std::get_if<control::RolloutOrderResponse>(&aAnswer)) {
     mParts.mLogger.Log(
       observe::EventId::kRolloutOrdered,
       { { "rollout", order->mLatest.mId },
@@ -401,7 +402,7 @@
 }
 
 void
-ControlDecider::Carry(const control::AnswerEffect& aEffect)
+ControlDecider::Carry(const control::ResponseEffect& aEffect)
 {
   const auto call = mCalls.find(aEffect.mCall);
   if (call == mCalls.end()) {
--- a/src/runtime/ControlDecider.h
+++ b/src/runtime/ControlDecider.h
@@ -52,7 +52,7 @@
   void StampTime(control::OperatorRequest& aRequest) const;
   bool RefuseRollout(HttpInput& aInput,
                      const control::OperatorRequest& aRequest);
-  void LogOrder(const control::OperatorAnswer& aAnswer);
+  void LogOrder(const control::OperatorResponse& aAnswer);
   void Take(HttpInput& aInput, AnnounceCall& aCall);
   void Take(HttpInput& aInput, GoodbyeCall& aCall);
   bool RefuseAnnouncement(HttpInput& aInput);
@@ -68,7 +68,7 @@
   void Carry(const control::ToReplicaEffect& aEffect);
   void Carry(const control::ToEntryEffect& aEffect);
   void Carry(const control::PersistEffect& aEffect);
-  void Carry(const control::AnswerEffect& aEffect);
+  void Carry(const control::ResponseEffect& aEffect);
   void Carry(const control::NoticeEffect& aEffect);
   void SendPeer(const Address& aTo, wire::PeerPayload aPayload);
   void Remember(const Address& aFrom, membership::EntryNonce aNonce);
--- a/src/runtime/ControlHostOptions.cpp
+++ b/src/runtime/ControlHostOptions.cpp
@@ -43,7 +43,7 @@
     return std::get<control::OperatorRequest>(std::move(command));
   };
   dialect.mWriteAnswer = [replicas = aSettings.mControlReplicas](
-                           const control::OperatorAnswer& aAnswer,
+                           const control::OperatorResponse& aAnswer,
                            const std::string& /*aTarget*/) {
     return http::WriteOperatorAnswer(
       aAnswer, [&](const Address& aPeer) -> std::optional<Address> {
@@ -102,7 +102,7 @@
   options.mVolatile = aSettings.mDataFolder.empty();
   options.mMaxLearners = kStandbys;
   options.mSnapshotEvery = kSnapshotEvery;
-  options.mConsensus.mKeepBehindSnapshot = kKeepBehindSnapshot;
+  options.mConsensus.mEntriesRetainedBehindSnapshot = kKeepBehindSnapshot;
   options.mReplaceSilentAfter = kReplaceSilentAfter;
   return options;
 }
--- a/src/runtime/DutyRunner.cpp
+++ b/src/runtime/DutyRunner.cpp
@@ -193,7 +193,7 @@
     std::for_each(changes.begin(), changes.end(), [&](const auto& aChange) {
       LogChange(aChange);
     });
-    mPropose(control::TreatRequest{ std::move(changes) });
+    mPropose(control::QuarantineChangeRequest{ std::move(changes) });
   }
 }
 
--- a/src/runtime/StatusJson.h
+++ b/src/runtime/StatusJson.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peridotspool/control/OperatorAnswer.h"
+#include "peridotspool/control/OperatorResponse.h"
 #include "peridotspool/observe/Counters.h"
 #include "peridotspool/request/EntryNode.h"
 
--- a/test/control/ControlCluster.cpp
+++ b/test/control/ControlCluster.cpp
@@ -174,9 +174,9 @@
 
 bool
 ControlCluster::RunUntil(const std::function<bool()>& aCondition,
-                         Duration aMost)
+                         Duration aTimeout)
 {
-  const TimePoint end = mNow + aMost;
+  const TimePoint end = mNow + aTimeout;
   while (!aCondition()) {
     if (mQueue.empty() || mNow >= end) {
       return false;
@@ -283,7 +283,7 @@
   std::visit(Overloaded{ toReplica,
                          toEntry,
                          persist,
-                         [&](const AnswerEffect& aAnswer) {
+                         [&](const ResponseEffect& aAnswer) {
                            mAnswers[aAnswer.mCall] = aAnswer.mAnswer;
                          },
                          [&](const NoticeEffect& aNotice) {
--- a/test/control/ControlCluster.h
+++ b/test/control/ControlCluster.h
@@ -74,9 +74,9 @@
 
   // Time.
   void Run(Duration aFor);
-  /** Runs until the condition holds; returns false after aMost. */
+  /** Runs until the condition holds; returns false after aTimeout. */
   bool RunUntil(const std::function<bool()>& aCondition,
-                Duration aMost = std::chrono::seconds(20));
+                Duration aTimeout = std::chrono::seconds(20));
   TimePoint RealNow() const { return mNow; }
   TimePoint LocalNow(const ClusterProcess& aProcess) const;
 
@@ -99,12 +99,12 @@
 
   // Operators.
   CallId Ask(const std::string& aName, OperatorRequest aRequest);
-  std::optional<OperatorAnswer> AnswerTo(CallId aCall) const;
+  std::optional<OperatorResponse> AnswerTo(CallId aCall) const;
   /** Asks the leader until it answers for good, resending as it is. */
-  OperatorAnswer AskLeader(const OperatorRequest& aRequest);
-  EditAnswer Edit(const std::string& aEdit,
-                  std::uint64_t aBase,
-                  const std::string& aText);
+  OperatorResponse AskLeader(const OperatorRequest& aRequest);
+  EditResponse Edit(const std::string& aEdit,
+                    std::uint64_t aBase,
+                    const std::string& aText);
 
   // Looking.
   ClusterProcess& Process(const std::string& aName);
@@ -167,7 +167,7 @@
   std::set<std::pair<std::string, std::string>> mCutLinks;
   std::uint64_t mLastNonce = 1000;
   CallId mLastCall;
-  std::map<CallId, OperatorAnswer> mAnswers;
+  std::map<CallId, OperatorResponse> mAnswers;
   std::vector<NoticeEffect> mNotices;
   std::vector<std::string> mProblems;
   std::map<Revision, std::string> mTexts;
--- a/test/control/ControlClusterFaults.cpp
+++ b/test/control/ControlClusterFaults.cpp
@@ -119,14 +119,14 @@
   return call;
 }
 
-std::optional<OperatorAnswer>
+std::optional<OperatorResponse>
 ControlCluster::AnswerTo(CallId aCall) const
 {
   const auto found = mAnswers.find(aCall);
   return found == mAnswers.end() ? std::nullopt : std::optional(found->second);
 }
 
-OperatorAnswer
+OperatorResponse
 ControlCluster::AskLeader(const OperatorRequest& aRequest)
 {
   constexpr int kTries = 50;
@@ -140,26 +140,27 @@
     RunUntil([&] { return AnswerTo(call).has_value(); },
              std::chrono::seconds(10));
     const auto answer = AnswerTo(call);
-    if (answer && !std::holds_alternative<NotLeaderAnswer>(*answer) &&
-        !std::holds_alternative<UncertainAnswer>(*answer)) {
+    if (answer && !std::holds_alternative<NotLeaderResponse>(*answer) &&
+        !std::holds_alternative<UncertainResponse>(*answer)) {
       return *answer;
     }
     Run(std::chrono::milliseconds(100));
   }
-  return RefusedAnswer{ "the test got no answer" };
+  return RefusedResponse{ "the test got no answer" };
 }
 
-EditAnswer
+EditResponse
 ControlCluster::Edit(const std::string& aEdit,
                      std::uint64_t aBase,
                      const std::string& aText)
 {
-  const OperatorAnswer answer = AskLeader(EditRequest{ .mEdit = EditId(aEdit),
-                                                       .mBase = Revision(aBase),
-                                                       .mText = aText,
-                                                       .mAuthor = "operator" });
-  const auto* edit = std::get_if<EditAnswer>(&answer);
-  return edit == nullptr ? EditAnswer{} : *edit;
+  const OperatorResponse answer =
+    AskLeader(EditRequest{ .mEdit = EditId(aEdit),
+                           .mBase = Revision(aBase),
+                           .mText = aText,
+                           .mAuthor = "operator" });
+  const auto* edit = std::get_if<EditResponse>(&answer);
+  return edit == nullptr ? EditResponse{} : *edit;
 }
 
 ClusterProcess&
--- a/test/control/ControlNodeTest.cpp
+++ b/test/control/ControlNodeTest.cpp
@@ -12,7 +12,7 @@
   ControlCluster cluster;
   cluster.StartControls(3);
   REQUIRE(cluster.Voters() == 3);
-  const EditAnswer answer = cluster.Edit("first", 0, "a: 1\n");
+  const EditResponse answer = cluster.Edit("first", 0, "a: 1\n");
   CHECK(answer.mVerdict == EditVerdict::kCommitted);
   CHECK(answer.mRevision == Revision(1));
   CHECK(cluster.Problems().empty());
@@ -50,9 +50,9 @@
   cluster.AddEntry("entry-2", "south");
   cluster.RunUntil([&] { return cluster.AllEntriesAt(Revision(1)); });
   cluster.Run(std::chrono::seconds(1));
-  const OperatorAnswer answer =
+  const OperatorResponse answer =
     cluster.AskLeader(DrainRequest{ .mEntry = EntryName("entry-1") });
-  REQUIRE(std::holds_alternative<DrainAnswer>(answer));
+  REQUIRE(std::holds_alternative<DrainResponse>(answer));
   ClusterProcess& entry = cluster.Process("entry-1");
   REQUIRE(cluster.RunUntil([&] { return entry.mDrainWanted; }));
   entry.mSession->Step(membership::LeftNothingEvent{}, cluster.LocalNow(entry));
--- a/test/control/ControlTimesTest.cpp
+++ b/test/control/ControlTimesTest.cpp
@@ -21,7 +21,7 @@
     cluster.Run(std::chrono::milliseconds(1000 + 37 * seed));
     const TimePoint before = cluster.RealNow();
     cluster.Crash(cluster.Leader());
-    const EditAnswer answer = cluster.Edit("edit-2", 1, "a: 2\n");
+    const EditResponse answer = cluster.Edit("edit-2", 1, "a: 2\n");
     REQUIRE(answer.mVerdict == EditVerdict::kCommitted);
     times.push_back(cluster.RealNow() - before);
   }
@@ -50,8 +50,9 @@
   cluster.Run(std::chrono::seconds(2));
   const TimePoint before = cluster.RealNow();
   cluster.Edit("edit-2", 1, "a: 2\n");
-  const auto answer = std::get<InForceAnswer>(cluster.AskLeader(InForceRequest{
-    .mRevision = Revision(2), .mWait = std::chrono::seconds(7) }));
+  const auto answer =
+    std::get<InForceResponse>(cluster.AskLeader(InForceRequest{
+      .mRevision = Revision(2), .mWait = std::chrono::seconds(7) }));
   const Duration took = cluster.RealNow() - before;
   INFO("took " << took.count() << " us");
   CHECK(answer.mInForce);
--- a/test/control/DifferentialTest.cpp
+++ b/test/control/DifferentialTest.cpp
@@ -41,7 +41,7 @@
   const char* Any();
   void LoseOneDisk();
   Revision KnownCommitted() const;
-  std::vector<EditAnswer> AnswersTo(const SentEdit& aEdit) const;
+  std::vector<EditResponse> AnswersTo(const SentEdit& aEdit) const;
   void CompareAnswers(const SentEdit& aEdit,
                       const std::vector<SettingsChange>& aList,
                       std::vector<std::string>& aDifferences) const;
@@ -54,7 +54,7 @@
 {
   mCluster.mTune = [](ControlOptions& aOptions) {
     aOptions.mSnapshotEvery = 15;
-    aOptions.mConsensus.mKeepBehindSnapshot = 4;
+    aOptions.mConsensus.mEntriesRetainedBehindSnapshot = 4;
   };
   mCluster.mFaults.mMaxSync = std::chrono::milliseconds(20);
   mCluster.StartControls(3);
@@ -180,14 +180,14 @@
   RC_ASSERT(whole);
 }
 
-std::vector<EditAnswer>
+std::vector<EditResponse>
 RandomRun::AnswersTo(const SentEdit& aEdit) const
 {
-  std::vector<EditAnswer> answers;
+  std::vector<EditResponse> answers;
   for (const CallId call : aEdit.mCalls) {
     const auto answer = mCluster.AnswerTo(call);
-    if (answer && std::holds_alternative<EditAnswer>(*answer)) {
-      answers.push_back(std::get<EditAnswer>(*answer));
+    if (answer && std::holds_alternative<EditResponse>(*answer)) {
+      answers.push_back(std::get<EditResponse>(*answer));
     }
   }
   return answers;
@@ -198,7 +198,7 @@
 {
   Revision known;
   for (const SentEdit& edit : mEdits) {
-    for (const EditAnswer& answer : AnswersTo(edit)) {
+    for (const EditResponse& answer : AnswersTo(edit)) {
       known = std::max(known, answer.mRevision);
     }
   }
@@ -211,7 +211,7 @@
                           std::vector<std::string>& aDifferences) const
 {
   const EditId& id = aEdit.mRequest.mEdit;
-  const std::vector<EditAnswer> answers = AnswersTo(aEdit);
+  const std::vector<EditResponse> answers = AnswersTo(aEdit);
   const auto differ = [&](const std::string& aWhat) {
     aDifferences.push_back(id.Value() + ": " + aWhat);
   };
@@ -219,7 +219,7 @@
     std::find_if(aList.begin(), aList.end(), [&](const auto& aChange) {
       return aChange.mEdit == id;
     });
-  for (const EditAnswer& answer : answers) {
+  for (const EditResponse& answer : answers) {
     if (answer != answers.front()) {
       differ("got two different answers");
     }
@@ -244,9 +244,9 @@
 std::vector<std::string>
 RandomRun::Differences()
 {
-  const OperatorAnswer answer =
+  const OperatorResponse answer =
     mCluster.AskLeader(HistoryRequest{ .mLimit = 100000 });
-  std::vector<SettingsChange> list = std::get<HistoryAnswer>(answer).mChanges;
+  std::vector<SettingsChange> list = std::get<HistoryResponse>(answer).mChanges;
   std::reverse(list.begin(), list.end());
   std::vector<std::string> differences = mCluster.Problems();
   std::string text;
--- a/test/control/LeadershipTest.cpp
+++ b/test/control/LeadershipTest.cpp
@@ -25,7 +25,7 @@
 std::uint64_t
 NextFencing(ControlCluster& aCluster)
 {
-  return std::get<FencingAnswer>(aCluster.AskLeader(FencingRequest{}))
+  return std::get<FencingResponse>(aCluster.AskLeader(FencingRequest{}))
     .mNumber.Value();
 }
 
@@ -52,14 +52,14 @@
   cluster.Run(std::chrono::seconds(60));
   // The edit to the old leader was not called committed.
   REQUIRE(cluster.AnswerTo(lost).has_value());
-  CHECK_FALSE(std::holds_alternative<EditAnswer>(*cluster.AnswerTo(lost)));
+  CHECK_FALSE(std::holds_alternative<EditResponse>(*cluster.AnswerTo(lost)));
   const ClusterProcess& entry = cluster.Process("entry-1");
   CHECK(entry.mSession->MayServe(cluster.LocalNow(entry)) ==
         ServeVerdict::kConfirmationTooOld);
   CHECK_FALSE(entry.mSession->LeaseHolds(cluster.LocalNow(entry)));
   cluster.Heal();
   CHECK(cluster.RunUntil([&] { return entry.mWasRemoved; }));
-  const EditAnswer resent = cluster.Edit("lost", 1, "a: lost\n");
+  const EditResponse resent = cluster.Edit("lost", 1, "a: lost\n");
   CHECK(resent.mVerdict == EditVerdict::kConflict);
   CHECK(resent.mWinner == EditId("edit-2"));
   CHECK(cluster.Problems() == std::vector<std::string>{});
@@ -83,7 +83,7 @@
   cluster.Thaw(old);
   cluster.Run(std::chrono::seconds(1));
   REQUIRE(cluster.AnswerTo(read).has_value());
-  CHECK(std::holds_alternative<NotLeaderAnswer>(*cluster.AnswerTo(read)));
+  CHECK(std::holds_alternative<NotLeaderResponse>(*cluster.AnswerTo(read)));
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
--- a/test/control/QuarantineSurvivesTest.cpp
+++ b/test/control/QuarantineSurvivesTest.cpp
@@ -11,7 +11,7 @@
 
 const ContentId kContent{ .mHigh = 3, .mLow = 4 };
 
-TreatRequest
+QuarantineChangeRequest
 Treat(QuarantineStage aStage)
 {
   return { { { .mContent = kContent,
@@ -23,8 +23,8 @@
 std::vector<routing::QuarantineRow>
 Listed(ControlCluster& aCluster)
 {
-  const OperatorAnswer answer = aCluster.AskLeader(QuarantineRequest{});
-  const auto* listed = std::get_if<QuarantineAnswer>(&answer);
+  const OperatorResponse answer = aCluster.AskLeader(QuarantineRequest{});
+  const auto* listed = std::get_if<QuarantineResponse>(&answer);
   return listed == nullptr ? std::vector<routing::QuarantineRow>{}
                            : listed->mRows;
 }
@@ -38,7 +38,7 @@
 {
   ControlCluster cluster(1);
   cluster.StartControls(3);
-  REQUIRE(std::holds_alternative<QuarantineAnswer>(
+  REQUIRE(std::holds_alternative<QuarantineResponse>(
     cluster.AskLeader(Treat(QuarantineStage::kRefused))));
   SECTION("a new leader")
   {
--- a/test/control/RolloutSurvivesTest.cpp
+++ b/test/control/RolloutSurvivesTest.cpp
@@ -21,15 +21,16 @@
 std::vector<rollout::Rollout>
 Known(ControlCluster& aCluster)
 {
-  const OperatorAnswer answer = aCluster.AskLeader(RolloutsRequest{ kService });
-  const auto* known = std::get_if<RolloutsAnswer>(&answer);
+  const OperatorResponse answer =
+    aCluster.AskLeader(RolloutsRequest{ kService });
+  const auto* known = std::get_if<RolloutsResponse>(&answer);
   return known == nullptr ? std::vector<rollout::Rollout>{} : known->mRollouts;
 }
 
 rollout::OrderVerdict
-VerdictOf(const OperatorAnswer& aAnswer)
+VerdictOf(const OperatorResponse& aAnswer)
 {
-  const auto* order = std::get_if<RolloutOrderAnswer>(&aAnswer);
+  const auto* order = std::get_if<RolloutOrderResponse>(&aAnswer);
   REQUIRE(order != nullptr);
   return order->mVerdict;
 }
@@ -66,7 +67,7 @@
 {
   ControlCluster cluster(2);
   cluster.StartControls(3);
-  CHECK(std::holds_alternative<RefusedAnswer>(
+  CHECK(std::holds_alternative<RefusedResponse>(
     cluster.AskLeader(RolloutAbortRequest{ kService })));
   cluster.AskLeader(Start("v2"));
   cluster.AskLeader(RolloutAbortRequest{ kService, 2000000 });
--- a/test/control/SeededGroupTest.cpp
+++ b/test/control/SeededGroupTest.cpp
@@ -14,17 +14,17 @@
 std::uint64_t
 Send(ControlCluster& aCluster, std::uint64_t aVersion)
 {
-  const OperatorAnswer answer = aCluster.AskLeader(DocumentRequest{
+  const OperatorResponse answer = aCluster.AskLeader(DocumentRequest{
     .mVersion = aVersion, .mText = "document " + std::to_string(aVersion) });
-  const auto* document = std::get_if<DocumentAnswer>(&answer);
+  const auto* document = std::get_if<DocumentResponse>(&answer);
   return document == nullptr ? 0 : document->mNewest;
 }
 
 std::string
 Newest(ControlCluster& aCluster)
 {
-  const OperatorAnswer answer = aCluster.AskLeader(SettingsRequest{});
-  const auto* settings = std::get_if<SettingsAnswer>(&answer);
+  const OperatorResponse answer = aCluster.AskLeader(SettingsRequest{});
+  const auto* settings = std::get_if<SettingsResponse>(&answer);
   return settings == nullptr ? "no answer" : settings->mText;
 }
 
--- a/test/control/SettingsPromiseTest.cpp
+++ b/test/control/SettingsPromiseTest.cpp
@@ -59,8 +59,8 @@
   const CallId left = cluster.Ask(leader, edit("left", 2));
   const CallId right = cluster.Ask(leader, edit("right", 3));
   cluster.Run(std::chrono::seconds(1));
-  const auto first = std::get<EditAnswer>(*cluster.AnswerTo(left));
-  const auto second = std::get<EditAnswer>(*cluster.AnswerTo(right));
+  const auto first = std::get<EditResponse>(*cluster.AnswerTo(left));
+  const auto second = std::get<EditResponse>(*cluster.AnswerTo(right));
   CHECK(first.mVerdict == EditVerdict::kCommitted);
   CHECK(first.mRevision == Revision(2));
   CHECK(second.mVerdict == EditVerdict::kConflict);
@@ -76,10 +76,10 @@
 {
   ControlCluster cluster;
   StartSystem(cluster);
-  const EditAnswer first = cluster.Edit("edit-2", 1, Tree(2));
+  const EditResponse first = cluster.Edit("edit-2", 1, Tree(2));
   cluster.Edit("edit-3", 2, Tree(3));
   cluster.Crash(cluster.Leader());
-  const EditAnswer again = cluster.Edit("edit-2", 1, Tree(2));
+  const EditResponse again = cluster.Edit("edit-2", 1, Tree(2));
   CHECK(again == first);
   CHECK(cluster.Edit("edit-2", 1, Tree(9)).mVerdict ==
         EditVerdict::kEditIdReused);
@@ -95,10 +95,10 @@
   ControlCluster cluster;
   cluster.mTune = [](ControlOptions& aOptions) {
     aOptions.mSnapshotEvery = 10;
-    aOptions.mConsensus.mKeepBehindSnapshot = 2;
+    aOptions.mConsensus.mEntriesRetainedBehindSnapshot = 2;
   };
   StartSystem(cluster);
-  const EditAnswer first = cluster.Edit("edit-2", 1, Tree(2));
+  const EditResponse first = cluster.Edit("edit-2", 1, Tree(2));
   for (int value = 3; value <= 40; ++value) {
     cluster.Edit("edit-" + std::to_string(value),
                  static_cast<std::uint64_t>(value) - 1,
@@ -123,7 +123,7 @@
   ControlCluster cluster;
   cluster.mTune = [&](ControlOptions& aOptions) {
     aOptions.mSnapshotEvery = 100;
-    aOptions.mConsensus.mKeepBehindSnapshot = 20;
+    aOptions.mConsensus.mEntriesRetainedBehindSnapshot = 20;
     aOptions.mStateMachine.mMaxHistory = deltas ? 1000 : 50;
   };
   StartSystem(cluster);
@@ -168,10 +168,10 @@
   REQUIRE(cluster.Edit("edit-2", 1, Tree(2)).mVerdict ==
           EditVerdict::kCommitted);
   const auto ask = [&](Duration aWait) {
-    return std::get<InForceAnswer>(cluster.AskLeader(
+    return std::get<InForceResponse>(cluster.AskLeader(
       InForceRequest{ .mRevision = Revision(2), .mWait = aWait }));
   };
-  const InForceAnswer early = ask(std::chrono::milliseconds(500));
+  const InForceResponse early = ask(std::chrono::milliseconds(500));
   CHECK_FALSE(early.mInForce);
   CHECK(early.mMissing == std::vector{ EntryName("entry-1") });
   // It is no member any more, but may serve by its last confirmation.
@@ -180,7 +180,7 @@
   });
   CHECK(MayServe(cluster, "entry-1") == ServeVerdict::kMayServe);
   CHECK_FALSE(ask(Duration(0)).mInForce);
-  const InForceAnswer late = ask(std::chrono::seconds(7));
+  const InForceResponse late = ask(std::chrono::seconds(7));
   CHECK(late.mInForce);
   CHECK(MayServe(cluster, "entry-1") == ServeVerdict::kConfirmationTooOld);
 }
@@ -196,11 +196,11 @@
     };
   };
   StartSystem(cluster);
-  const EditAnswer answer = cluster.Edit("edit-2", 1, "bad: 1\n");
+  const EditResponse answer = cluster.Edit("edit-2", 1, "bad: 1\n");
   CHECK(answer.mVerdict == EditVerdict::kInvalid);
   CHECK(answer.mReason == "tree:1:1: unknown key bad");
   const auto settings =
-    std::get<SettingsAnswer>(cluster.AskLeader(SettingsRequest{}));
+    std::get<SettingsResponse>(cluster.AskLeader(SettingsRequest{}));
   CHECK(settings.mRevision == Revision(1));
   CHECK(settings.mText == Tree(1));
 }
@@ -211,12 +211,12 @@
   StartSystem(cluster);
   cluster.Edit("edit-2", 1, Tree(2));
   cluster.Edit("edit-3", 2, "short: 1\n");
-  const auto diff = std::get<DiffAnswer>(
+  const auto diff = std::get<DiffResponse>(
     cluster.AskLeader(DiffRequest{ .mFrom = Revision(1), .mTo = Revision(2) }));
   CHECK(diff.mFromText == Tree(1));
   CHECK(diff.mToText == Tree(2));
   const auto history =
-    std::get<HistoryAnswer>(cluster.AskLeader(HistoryRequest{ .mLimit = 2 }));
+    std::get<HistoryResponse>(cluster.AskLeader(HistoryRequest{ .mLimit = 2 }));
   REQUIRE(history.mChanges.size() == 2);
   CHECK(history.mChanges[0].mEdit == EditId("edit-3"));
   CHECK(history.mChanges[1].mDelta.mRemoved == "changed: 1\n");
--- a/test/control/StateMachineTest.cpp
+++ b/test/control/StateMachineTest.cpp
@@ -13,15 +13,17 @@
 struct NaiveSettings
 {
   std::vector<std::pair<EditId, std::string>> mRevisions;
-  std::map<EditId, EditAnswer> mFirstAnswers;
+  std::map<EditId, EditResponse> mFirstAnswers;
 
-  EditAnswer Edit(const EditId& aEdit, Revision aBase, const std::string& aText)
+  EditResponse Edit(const EditId& aEdit,
+                    Revision aBase,
+                    const std::string& aText)
   {
     if (const auto known = mFirstAnswers.find(aEdit);
         known != mFirstAnswers.end()) {
       return known->second;
     }
-    EditAnswer answer;
+    EditResponse answer;
     if (aBase.Value() == mRevisions.size()) {
       mRevisions.emplace_back(aEdit, aText);
       answer = { EditVerdict::kCommitted, Revision(mRevisions.size()), {}, {} };
@@ -75,7 +77,7 @@
       if (base.Value() == newest) {
         command.mDelta = MakeDelta(machine.State().mSettings.mText, text);
       }
-      const auto answer = std::get<EditAnswer>(machine.Apply(command));
+      const auto answer = std::get<EditResponse>(machine.Apply(command));
       RC_ASSERT(answer == naive.Edit(edit, base, text));
       if (*rc::gen::inRange(0, 10) == 0) {
         machine = StateMachine({}, MachineState(machine.State()));
--- a/test/control/StateSurvivesTest.cpp
+++ b/test/control/StateSurvivesTest.cpp
@@ -21,8 +21,8 @@
 std::string
 NewestText(ControlCluster& aCluster)
 {
-  const OperatorAnswer answer = aCluster.AskLeader(SettingsRequest{});
-  const auto* settings = std::get_if<SettingsAnswer>(&answer);
+  const OperatorResponse answer = aCluster.AskLeader(SettingsRequest{});
+  const auto* settings = std::get_if<SettingsResponse>(&answer);
   return settings == nullptr ? "no answer" : settings->mText;
 }
 
@@ -111,7 +111,7 @@
   cluster.StartControls(3);
   for (std::uint64_t revision = 0; revision < 30; ++revision) {
     const std::string text = "a: " + std::to_string(revision) + "\n";
-    const EditAnswer answer =
+    const EditResponse answer =
       cluster.Edit("edit-" + std::to_string(revision), revision, text);
     REQUIRE(answer.mVerdict == EditVerdict::kCommitted);
     for (const char* name : kAll) {
--- a/test/platform/ControlCallsTest.cpp
+++ b/test/platform/ControlCallsTest.cpp
@@ -109,11 +109,11 @@
 TEST_CASE("AFollowerSendsTheOperatorToTheLeader")
 {
   const auto answer = ControlCalls(8229).mWriteAnswer(
-    control::NotLeaderAnswer{ Address{ "10.3.0.1", 7600 } }, "/config/read");
+    control::NotLeaderResponse{ Address{ "10.3.0.1", 7600 } }, "/config/read");
   CHECK(answer.mStatus == 307);
   CHECK(answer.mHeaders.at("location") == "http://10.3.0.1:8229/config/read");
   CHECK(ControlCalls(8229)
-          .mWriteAnswer(control::NotLeaderAnswer{}, "/config/read")
+          .mWriteAnswer(control::NotLeaderResponse{}, "/config/read")
           .mStatus == 503);
 }
 
@@ -122,12 +122,13 @@
 // end a call for good.
 TEST_CASE("AnUncertainOutcomeIsNeverARefusal")
 {
-  CHECK(ControlCalls(1).mWriteAnswer(control::UncertainAnswer{}, "").mStatus ==
-        503);
+  CHECK(
+    ControlCalls(1).mWriteAnswer(control::UncertainResponse{}, "").mStatus ==
+    503);
   CHECK(ControlCalls(1)
-          .mWriteAnswer(control::RefusedAnswer{ "busy" }, "")
+          .mWriteAnswer(control::RefusedResponse{ "busy" }, "")
           .mStatus == 503);
-  CHECK(ControlCalls(1).mWriteAnswer(control::SettingsAnswer{}, "").mStatus ==
+  CHECK(ControlCalls(1).mWriteAnswer(control::SettingsResponse{}, "").mStatus ==
         503);
 }
 
@@ -195,7 +196,7 @@
 {
   const auto answer = [](rollout::RolloutState aState) {
     const auto response = ControlCalls(1).mWriteAnswer(
-      control::RolloutsAnswer{
+      control::RolloutsResponse{
         { { .mOrder = { .mTo = VersionName("v2") }, .mState = aState } } },
       "/rollouts/s/read");
     return response.mBody;
@@ -207,10 +208,10 @@
   CHECK(answer(rollout::RolloutState::kRolledBack) ==
         R"({"state":"rolled_back","to":"v2"})");
   CHECK(ControlCalls(1)
-          .mWriteAnswer(control::RolloutsAnswer{}, "/rollouts/s/read")
+          .mWriteAnswer(control::RolloutsResponse{}, "/rollouts/s/read")
           .mStatus == 404);
   CHECK(ControlCalls(1)
-          .mWriteAnswer(control::NotLeaderAnswer{}, "/rollouts/s/read")
+          .mWriteAnswer(control::NotLeaderResponse{}, "/rollouts/s/read")
           .mStatus == 503);
 }
 
@@ -224,12 +225,12 @@
   const auto lift = Read("DELETE", "/v1/quarantine/" + ToText(content));
   const auto* lifted = std::get_if<control::OperatorRequest>(&lift);
   REQUIRE(lifted != nullptr);
-  CHECK(std::get<control::TreatRequest>(*lifted) ==
-        control::TreatRequest{ { { .mContent = content } } });
+  CHECK(std::get<control::QuarantineChangeRequest>(*lifted) ==
+        control::QuarantineChangeRequest{ { { .mContent = content } } });
   CHECK(RefusalOf(Read("DELETE", "/v1/quarantine/12")) == 400);
   CHECK(RefusalOf(Read("DELETE", "/instances/i-1")) == 404);
 
-  const control::QuarantineAnswer answer{
+  const control::QuarantineResponse answer{
     { { .mNumber = 2,
         .mChange = { .mContent = content,
                      .mStage = routing::QuarantineStage::kRefused,
