--- a/include/peridotspool/control/Command.h
+++ b/include/peridotspool/control/Command.h
@@ -16,14 +16,16 @@
 
 namespace peridotspool::control {
 
-/** Changes nothing; a new leader's first entry. */
+/** Changes nothing. A new leader appends it as the first entry of its term. */
 struct NoopCommand
 {
   auto operator<=>(const NoopCommand&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(NoopCommand, (), ())
 
-/** Replaces the replica set; at most one replica differs. */
+/**
+ * Replaces the replica set. At most one replica differs from the previous set.
+ */
 struct ReplicaSetCommand
 {
   ReplicaSet mSet;
@@ -32,14 +34,19 @@
 };
 BOOST_DESCRIBE_STRUCT(ReplicaSetCommand, (), (mSet))
 
-/** A settings edit that has passed its check. */
+/** A settings edit that passed validation. */
 struct EditCommand
 {
   EditId mEdit;
   Revision mBase;
-  /** Against the text of mBase; empty when mBase was already replaced. */
+  /**
+   * The delta against the text of mBase. Empty when mBase was already replaced.
+   */
   TextDelta mDelta;
-  /** Checksum of the wanted text and the base: tells edits apart. */
+  /**
+   * Checksum of the requested text and the base revision. Distinguishes edits
+   * that carry the same id.
+   */
   std::uint64_t mDigest = 0;
   std::string mAuthor;
 
@@ -47,7 +54,7 @@
 };
 BOOST_DESCRIBE_STRUCT(EditCommand, (), (mEdit, mBase, mDelta, mDigest, mAuthor))
 
-/** One entry process that becomes a member. */
+/** An entry process that joins as a member. */
 struct MemberJoin
 {
   membership::EntryNonce mNonce;
@@ -57,7 +64,7 @@
 };
 BOOST_DESCRIBE_STRUCT(MemberJoin, (), (mNonce, mProfile))
 
-/** Makes one new epoch out of all its changes together. */
+/** Creates one epoch that contains all of these changes. */
 struct MembershipCommand
 {
   std::vector<MemberJoin> mJoins;
@@ -68,25 +75,31 @@
 };
 BOOST_DESCRIBE_STRUCT(MembershipCommand, (), (mJoins, mDrains, mRemovals))
 
-/** Takes the next fencing number for one order. */
+/** Allocates the next fencing number for one order. */
 struct FencingCommand
 {
   auto operator<=>(const FencingCommand&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(FencingCommand, (), ())
 
-/** Replaces the settings by a whole document with the operator's number. */
+/**
+ * Replaces the settings by a whole document with the version that the operator
+ * assigned.
+ */
 struct DocumentCommand
 {
   std::uint64_t mVersion = 0;
-  /** Packed (base/PackedText.h): documents with many routes are long. */
+  /**
+   * Packed (see base/PackedText.h), because documents with many routes are
+   * long.
+   */
   std::string mText;
 
   auto operator<=>(const DocumentCommand&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(DocumentCommand, (), (mVersion, mText))
 
-/** Settles what is told of one window's usage, for good. */
+/** Fixes the reported usage of one window permanently. */
 struct UsageCommand
 {
   gateway::UsageWindow mWindow;
@@ -95,7 +108,7 @@
 };
 BOOST_DESCRIBE_STRUCT(UsageCommand, (), (mWindow))
 
-/** Changes how contents that ended upstreams are treated. */
+/** Changes the quarantine state of contents that crashed upstreams. */
 struct QuarantineCommand
 {
   std::vector<routing::QuarantineChange> mChanges;
@@ -115,7 +128,7 @@
 };
 BOOST_DESCRIBE_STRUCT(RolloutCommand, (), (mChange))
 
-/** Replaces the floors of customers' balances. */
+/** Replaces the lower bounds (floors) of the customers' balances. */
 struct QuotaFloorsCommand
 {
   gateway::QuotaFloors mFloors;
--- a/include/peridotspool/control/Consensus.h
+++ b/include/peridotspool/control/Consensus.h
@@ -21,7 +21,10 @@
 enum class Role
 {
   kFollower,
-  /** Asks whether it would be elected, without raising its term. */
+  /**
+   * Collects pre-votes to check whether it would be elected, without raising
+   * its term.
+   */
   kPreCandidate,
   kCandidate,
   kLeader,
@@ -30,58 +33,66 @@
 
 /**
  * The replicated log: elections, replication, compaction and changes of the
- * replica set, after the Raft algorithm with pre-vote, check-quorum and leader
- * leases.
+ * replica set. Implements the Raft algorithm with pre-vote, check-quorum and
+ * leader leases.
  *
- * A pure step. Nothing that it promises to another replica leaves before the
- * write that the promise rests on has synced. Not thread-safe.
+ * A deterministic state machine without I/O. A message that makes a promise to
+ * another replica is sent only after the write that backs the promise has
+ * synced. Not thread-safe.
  */
 class Consensus
 {
 public:
   /**
-   * aState must have an identity; an empty folder takes no part. Tokens of
-   * writes go on after aLastToken.
+   * aState must have an identity; a replica with an empty data folder doesn't
+   * participate. New write tokens follow aLastToken.
    */
   Consensus(ConsensusOptions aOptions,
             RestoredState aState,
             TimePoint aNow,
             SyncToken aLastToken = SyncToken());
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Handles one event and returns the effects for the host to carry out, in
+   * order.
+   */
   ConsensusEffects Step(const ConsensusEvent& aEvent, TimePoint aNow);
 
   ReplicaId Self() const { return mSelf; }
   Role CurrentRole() const { return mRole; }
   Term CurrentTerm() const { return mVote.mTerm; }
-  /** The leader of the current term; unset when it isn't known. */
+  /** The leader of the current term; unset when it is unknown. */
   ReplicaId Leader() const { return mLeader; }
   LogIndex LastIndex() const { return mLog.LastIndex(); }
   LogIndex Commit() const { return mCommit; }
-  /** The newest write that was given out. */
+  /** The token of the latest write that was issued. */
   SyncToken LastToken() const { return mLastToken; }
-  /** Entries kept in memory. */
+  /** The number of entries held in memory. */
   std::size_t LogSize() const { return mLog.Size(); }
   /** The newest replica set in the log, committed or not. */
   const ReplicaSet& Replicas() const { return mSets.back().mSet; }
-  /** Returns true iff no change of the replica set is under way. */
+  /** Returns true iff no change of the replica set is in progress. */
   bool ReplicaSetSettled() const;
   /**
    * Returns true iff this replica leads, has committed an entry of its own
-   * term, and no other replica can lead at aNow: its state is the newest.
+   * term, and no other replica can lead at aNow. Its state is then the newest.
    */
   bool LeaseHolds(TimePoint aNow) const;
   /**
-   * The process that bears the identity has ended, and its disk is lost: nobody
-   * will ever speak or have spoken for it in this process's life.
+   * Records that the process with this identity has ended and its disk is lost,
+   * so no process has sent or will send messages under the identity during the
+   * lifetime of this process.
    */
   void RecordEndedReplica(ReplicaId aReplica)
   {
     mEndedReplicas.insert(aReplica);
   }
-  /** Returns true iff it leads, or has heard the leader in this time. */
+  /**
+   * Returns true iff this replica leads or received a message from the leader
+   * within aTime.
+   */
   bool HeardLeaderWithin(Duration aTime, TimePoint aNow) const;
-  /** What the leader knows of the others; empty on a follower. */
+  /** The replication progress of the other replicas; empty on a follower. */
   const std::map<ReplicaId, FollowerProgress>& Progress() const
   {
     return mProgress;
@@ -131,11 +142,17 @@
 
   // Elections.
   void ResetElectionTimer();
-  /** Asks for pre-votes soon while the replica has only just started: within
-   * half of so many eager periods to all of them. */
+  /**
+   * Schedules an early election attempt while the replica has only just
+   * started: after a random time between half of and all of aPeriods startup
+   * election periods. Falls back to the normal election timer otherwise.
+   */
   void SetStartupElectionTimer(int aPeriods);
   bool HasHeardLeaderRecently() const;
-  /** The replica has led nobody and heard no leader since it started. */
+  /**
+   * Returns true iff the replica has neither led nor heard from a leader since
+   * it started.
+   */
   bool HasSeenNoLeader() const { return !mHadLeader; }
   bool IsUpToDate(const VoteRequest& aRequest) const;
   void StartPreVote();
@@ -160,7 +177,9 @@
 
   // The follower's side.
   bool AcceptLeader(ReplicaId aFrom, Term aTerm);
-  /** Returns from where a leader's log may differ from this one. */
+  /**
+   * Returns the first index at which the leader's log may differ from this one.
+   */
   LogIndex FirstPossiblyDivergent(LogIndex aPrevious) const;
   void MergeEntries(const std::vector<LogEntry>& aEntries);
   void ReplyAppend(ReplicaId aTo,
@@ -194,18 +213,27 @@
 
   Role mRole = Role::kFollower;
   ReplicaId mLeader;
-  /** No vote before this: a leader may count on this replica's silence. */
+  /**
+   * When a message from a leader was last received. No vote is granted within
+   * the election timeout after it, because the leader's lease relies on that.
+   */
   TimePoint mHeardLeaderAt;
   TimePoint mElectionAt;
   TimePoint mStartedAt;
-  /** It led, or heard a leader, since it started. */
+  /** Whether it has led or heard from a leader since it started. */
   bool mHadLeader = false;
   std::set<ReplicaId> mVotes;
-  /** Voters that restarted and know no leader, by this round of pre-votes. */
+  /**
+   * Voters that, in this round of pre-votes, reported a restart and no known
+   * leader.
+   */
   std::set<ReplicaId> mRestarted;
-  /** Replicas whose identity is over; see RecordEndedReplica. */
+  /** Replicas whose identity has ended; see RecordEndedReplica. */
   std::set<ReplicaId> mEndedReplicas;
-  /** A restarted replica of a smaller id is to be elected until then. */
+  /**
+   * Until then this replica leaves the election to a restarted replica with a
+   * smaller id.
+   */
   TimePoint mDefersElectionUntil;
 
   std::map<ReplicaId, FollowerProgress> mProgress;
@@ -220,7 +248,7 @@
   SyncToken mSyncedToken;
   std::deque<PendingSync> mPendingSyncs;
   std::deque<MessageAwaitingSync> mMessagesAwaitingSync;
-  /** Own entries up to here are on the disk. */
+  /** The replica's own entries up to this index are synced to disk. */
   LogIndex mDurable;
 };
 
--- a/include/peridotspool/control/ConsensusEffect.h
+++ b/include/peridotspool/control/ConsensusEffect.h
@@ -8,20 +8,20 @@
 
 namespace peridotspool::control {
 
-/** Send a message to another replica; it may be lost. */
+/** Sends a message to another replica; the message may be lost. */
 struct SendReplicaEffect
 {
   ReplicaId mTo;
   ReplicaMessage mMessage;
 };
 
-/** These entries are committed: apply them, in order. */
+/** Applies these committed entries, in order. */
 struct CommittedEffect
 {
   std::vector<LogEntry> mEntries;
 };
 
-/** Replace the state machine's state by the snapshot's. */
+/** Replaces the state machine's state by the snapshot's. */
 struct InstalledEffect
 {
   Snapshot mSnapshot;
--- a/include/peridotspool/control/ConsensusEvent.h
+++ b/include/peridotspool/control/ConsensusEvent.h
@@ -6,33 +6,35 @@
 
 namespace peridotspool::control {
 
-/** A message came from another replica of this system. */
+/** A message was received from another replica of this system. */
 struct ReplicaMessageEvent
 {
   ReplicaId mFrom;
   ReplicaMessage mMessage;
 };
 
-/** All writes up to and with this token are on the disk. */
+/** All writes up to and including this token have synced to disk. */
 struct SyncedEvent
 {
   SyncToken mToken;
 };
 
-/** The leader's host proposes a command; ignored unless this replica leads. */
+/** The host proposes a command; ignored unless this replica leads. */
 struct ProposeEvent
 {
   Command mCommand;
 };
 
-/** The state machine's state after the entry at mIndex was applied. */
+/**
+ * Supplies the state machine's state after the entry at mIndex, for a snapshot.
+ */
 struct CompactEvent
 {
   LogIndex mIndex;
   MachineState mState;
 };
 
-/** Time has passed. */
+/** Reports the passage of time. */
 struct TickEvent
 {};
 
--- a/include/peridotspool/control/ConsensusOptions.h
+++ b/include/peridotspool/control/ConsensusOptions.h
@@ -7,36 +7,42 @@
 
 namespace peridotspool::control {
 
-/** Times and bounds of the replicated log. */
+/** Timeouts and limits of the replicated log. */
 struct ConsensusOptions
 {
   Duration mHeartbeatPeriod = std::chrono::milliseconds(100);
   /**
-   * After hearing a leader, no replica helps to elect another one for this
-   * long; an election starts between once and twice this long after.
+   * A replica grants no vote for this long after a message from a leader. An
+   * election starts between one and two times this long after that message.
    */
   Duration mElectionTimeout = std::chrono::milliseconds(500);
   /**
-   * A replica that has just started asks the others about twice in this time
-   * whether all of them have restarted: then nobody leads, and one of them is
-   * elected at once.
+   * A replica that has just started queries the others about twice in this
+   * period whether all of them have restarted. In that case no leader exists,
+   * and one is elected at once.
    */
   Duration mStartupElectionPeriod = std::chrono::milliseconds(80);
-  /** So long after its start. */
+  /** How long after its start a replica sends such queries. */
   Duration mStartupElectionWindow = std::chrono::seconds(5);
-  /** Clocks of two replicas may run apart by this share, at most. */
+  /**
+   * The maximum relative rate difference between the clocks of two replicas.
+   */
   double mClockRateBound = 0.01;
   std::size_t mMaxEntriesPerAppend = 256;
-  /** After this long a snapshot without an answer is sent again. */
+  /** An unacknowledged snapshot is sent again after this time. */
   Duration mSnapshotResend = std::chrono::seconds(2);
-  /** Entries kept behind a snapshot for followers that lag a little. */
+  /** Entries retained behind a snapshot, for followers that lag slightly. */
   std::size_t mEntriesRetainedBehindSnapshot = 256;
-  /** Differs for each replica, so that elections seldom collide. */
+  /**
+   * Seed of the election timers. Differs between replicas, so that simultaneous
+   * elections are rare.
+   */
   std::uint64_t mRandomSeed = 1;
 
   /**
-   * How long an answer of a majority keeps the leader in charge, from when it
-   * asked. It ends before any follower, however fast its clock, helps another.
+   * How long a majority's acknowledgement keeps the leader's lease valid,
+   * counted from when the request was sent. The lease ends before any follower,
+   * however fast its clock, votes for another replica.
    */
   Duration LeaseDuration() const;
 };
--- a/include/peridotspool/control/ControlEffect.h
+++ b/include/peridotspool/control/ControlEffect.h
@@ -12,21 +12,21 @@
 
 namespace peridotspool::control {
 
-/** Send a message to another control replica; it may be lost. */
+/** Sends a message to another control replica; the message may be lost. */
 struct ToReplicaEffect
 {
   Address mTo;
   ReplicaEnvelope mEnvelope;
 };
 
-/** Send a message on the connection that this entry process spoke on last. */
+/** Sends a message on the connection that this entry process used last. */
 struct ToEntryEffect
 {
   membership::EntryNonce mTo;
   membership::ToEntryMessage mMessage;
 };
 
-/** The answer to an OperatorEvent; exactly one for each. */
+/** The response to an OperatorEvent; exactly one for each. */
 struct ResponseEffect
 {
   CallId mCall;
@@ -66,11 +66,11 @@
                     kVoteHeard,
                     kVoteAnswered)
 
-/** For the host's log. */
+/** An event for the host's log. */
 struct NoticeEffect
 {
   ControlNotice mNotice = ControlNotice::kTookLead;
-  /** key=value pairs. */
+  /** The event's fields as key=value pairs. */
   std::string mText;
 };
 
--- a/include/peridotspool/control/ControlEvent.h
+++ b/include/peridotspool/control/ControlEvent.h
@@ -8,26 +8,29 @@
 
 namespace peridotspool::control {
 
-/** A message came from another control replica. */
+/** A message was received from another control replica. */
 struct FromReplicaEvent
 {
   ReplicaEnvelope mEnvelope;
 };
 
-/** A message came from an entry. */
+/** A message was received from an entry. */
 struct FromEntryEvent
 {
   membership::EntryEnvelope mEnvelope;
 };
 
-/** An operator (or the planner) asks; answered by one ResponseEffect. */
+/**
+ * A request of an operator or of the planner; answered by exactly one
+ * ResponseEffect.
+ */
 struct OperatorEvent
 {
   CallId mCall;
   OperatorRequest mRequest;
 };
 
-/** TickEvent is to come about every 20 ms. */
+/** The host delivers a TickEvent about every 20 ms. */
 using ControlEvent = std::variant<FromReplicaEvent,
                                   FromEntryEvent,
                                   OperatorEvent,
--- a/include/peridotspool/control/ControlNode.h
+++ b/include/peridotspool/control/ControlNode.h
@@ -15,42 +15,51 @@
 class ControlNodeState;
 
 /**
- * One control replica: the replicated log, the state that it makes, and the
- * sessions with entries and operators. What `peridotspool-controld` hosts.
+ * One control replica: the replicated log, the state derived from it, and the
+ * sessions with entries and operators. Hosted by `peridotspool-controld`.
  *
- * It is a pure step: it owns no clock, thread, socket or file, and the same
- * events at the same times give the same effects. Not thread-safe.
+ * A deterministic state machine: it owns no clock, thread, socket or file, and
+ * the same events at the same times produce the same effects. Not thread-safe.
  */
 class ControlNode
 {
 public:
-  /** Starts from what was synced; an empty state joins by asking the seeds. */
+  /**
+   * Starts from the synced state; a replica with an empty state joins by
+   * querying the seeds.
+   */
   ControlNode(ControlOptions aOptions, RestoredState aState, TimePoint aNow);
   ~ControlNode();
   ControlNode(ControlNode&&) noexcept;
   ControlNode& operator=(ControlNode&&) noexcept;
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Handles one event and returns the effects for the host to carry out, in
+   * order.
+   */
   ControlEffects Step(const ControlEvent& aEvent, TimePoint aNow);
 
-  /** Returns true iff this replica leads, and its lease holds at aNow. */
+  /** Returns true iff this replica leads and its lease is valid at aNow. */
   bool Leads(TimePoint aNow) const;
   /**
-   * Returns true iff this replica has its place in the group and has lately led
-   * or heard the leader: entries know of it, and ask it.
+   * Returns true iff this replica is in the replica set and has recently led or
+   * heard from the leader, so that entries know it and query it.
    */
   bool IsConnected(TimePoint aNow) const;
-  /** The newest applied state; on a follower it may be behind. */
+  /** The latest applied state; on a follower it may lag behind. */
   const MachineState& State() const;
   const ReplicaSet& Replicas() const;
   ReplicaId Self() const;
-  /** Entries that were heard lately, work by settings and don't leave. */
+  /**
+   * Returns the entries that were heard from recently, have confirmed settings
+   * and aren't leaving.
+   */
   std::vector<membership::EntryProfile> ReadyEntries(TimePoint aNow) const;
-  /** Returns true iff this replica votes, and so may come to lead. */
+  /** Returns true iff this replica is a voter and can become the leader. */
   bool Votes() const;
-  /** Where the control replicas listen for each other, as known here. */
+  /** The peer addresses of the control replicas, as known to this replica. */
   std::vector<Address> ReplicaAddresses() const;
-  /** Where the leader listens; empty when it isn't known. */
+  /** The leader's peer address; empty when the leader is unknown. */
   std::optional<Address> LeaderAddress() const;
   Term CurrentTerm() const;
 
--- a/include/peridotspool/control/ControlOptions.h
+++ b/include/peridotspool/control/ControlOptions.h
@@ -14,65 +14,90 @@
 namespace peridotspool::control {
 
 /**
- * Checks a whole settings tree. Returns the problem with its place, or empty
- * when the tree is good. Must be a pure function.
+ * Validates a whole settings tree. Returns the problem with its location, or
+ * empty when the tree is valid. Must be a pure function.
  */
 using SettingsChecker =
   std::function<std::optional<std::string>(const std::string& aText)>;
 
-/** Times and bounds of a control replica. */
+/** Timeouts and limits of a control replica. */
 struct ControlOptions
 {
-  /** This replica's settings; used when it joins with an empty folder. */
+  /** This replica's own attributes; used when it joins with an empty folder. */
   ReplicaName mName;
   FailureDomain mDomain;
   Address mAddress;
-  /** This replica has no disk; it only receives the log. */
+  /**
+   * Set when this replica has no disk; it then only receives the log and never
+   * votes.
+   */
   bool mVolatile = false;
-  /** Random; differs for each start of the process. */
+  /** A random number that differs for each start of the process. */
   JoinNonce mNonce;
-  /** Other control replicas, asked for an identity by an empty folder. */
+  /**
+   * Other control replicas, from which a replica with an empty folder requests
+   * its identity.
+   */
   std::vector<Address> mSeeds;
 
   ConsensusOptions mConsensus;
   StateMachineOptions mStateMachine;
   SettingsChecker mChecker;
 
-  /** How many voters the leader brings the replica set up to. */
+  /** The number of voters that the leader aims for. */
   std::size_t mVoters = 3;
-  /** Further replicas that only receive the log, ready to take a place. */
+  /**
+   * The maximum number of further replicas that only receive the log and can
+   * replace a voter.
+   */
   std::size_t mMaxLearners = 2;
   /**
-   * A voter that has been silent for this long loses its place to a learner
-   * that has caught up; unset: only its own next identity takes its place.
+   * A voter that has been silent for this long is replaced by a learner that
+   * has caught up. Unset: a voter is replaced only by the next identity of the
+   * same replica.
    */
   std::optional<Duration> mReplaceSilentAfter;
-  /** How long a heartbeat's answer lets an entry work, from its sending. */
+  /**
+   * The duration of an entry's lease, counted from when the entry sent the
+   * heartbeat that was answered.
+   */
   Duration mEntryLease = std::chrono::milliseconds(1000);
-  /** A member not heard by a majority for this long is removed. */
+  /**
+   * A member from which a majority has received nothing for this long is
+   * removed.
+   */
   Duration mMemberTimeout = std::chrono::milliseconds(1500);
   /**
-   * How long an entry without a confirmed revision takes new work; the same as
+   * How long an entry without a confirmed revision accepts new work. Equals
    * membership::ControlSessionOptions::mConfirmationGrace.
    */
   Duration mConfirmationGrace = std::chrono::seconds(4);
-  /** Changes of members are gathered for this long into one epoch. */
+  /** Membership changes are batched into one epoch for this long. */
   Duration mEpochDelay = std::chrono::milliseconds(100);
-  /** Two epochs are at least this far apart, unless an entry is leaving. */
+  /** The minimum interval between two epochs, unless an entry is leaving. */
   Duration mEpochSpacing = std::chrono::milliseconds(500);
-  /** A process whose name was lately removed waits this long, doubling. */
+  /**
+   * The initial backoff before a process whose name was recently removed may
+   * rejoin; doubles with each removal up to mMaxRejoinBackoff.
+   */
   Duration mRejoinBackoff = std::chrono::seconds(1);
   Duration mMaxRejoinBackoff = std::chrono::seconds(30);
-  /** An entry that was not heard for this long is not named to callers. */
+  /**
+   * An entry from which nothing was received for this long is not listed to
+   * callers.
+   */
   Duration mEntryListingTimeout = std::chrono::milliseconds(1200);
-  /** After this long without effect a push is sent again. */
+  /** A push that has had no effect is sent again after this time. */
   Duration mPushResend = std::chrono::milliseconds(600);
-  /** A snapshot is made after this many entries. */
+  /** The number of entries after which a snapshot is made. */
   std::size_t mSnapshotEvery = 1000;
   std::size_t mMaxSettingsBytes = 4ULL << 20;
-  /** Operators' requests under way at once; more are refused. */
+  /** The maximum number of pending operator requests; more are refused. */
   std::size_t mMaxPending = 1000;
-  /** Entry processes remembered at once; more are not answered. */
+  /**
+   * The maximum number of entry processes tracked at once; further ones get no
+   * response.
+   */
   std::size_t mMaxSessions = 4000;
 };
 
--- a/include/peridotspool/control/EditResponse.h
+++ b/include/peridotspool/control/EditResponse.h
@@ -13,22 +13,24 @@
 {
   /** Committed as mRevision. */
   kCommitted,
-  /** Another edit took the base first: mRevision by mWinner. */
+  /**
+   * Another edit of the same base was committed first: mRevision by mWinner.
+   */
   kConflict,
-  /** The whole tree fails its check: mReason says where. Nothing changed. */
+  /** The whole tree is invalid: mReason gives the location. Nothing changed. */
   kInvalid,
   /** This edit id was used before for another edit. Nothing changed. */
   kEditIdReused,
 };
 BOOST_DESCRIBE_ENUM(EditVerdict, kCommitted, kConflict, kInvalid, kEditIdReused)
 
-/** The final answer to a settings edit; a resent edit gets the same one. */
+/** The final response to a settings edit; a resent edit gets the same one. */
 struct EditResponse
 {
   EditVerdict mVerdict = EditVerdict::kInvalid;
   /** kCommitted: the edit's revision; kConflict: the winner's. */
   Revision mRevision;
-  /** kConflict: the edit that made mRevision. */
+  /** kConflict: the edit that created mRevision. */
   EditId mWinner;
   std::string mReason;
 
--- a/include/peridotspool/control/FollowerProgress.h
+++ b/include/peridotspool/control/FollowerProgress.h
@@ -7,16 +7,19 @@
 
 namespace peridotspool::control {
 
-/** What a leader knows of another replica. */
+/** The leader's view of another replica's replication state. */
 struct FollowerProgress
 {
-  /** Synced there up to here. */
+  /** The last index known to be synced on the replica. */
   LogIndex mMatch;
-  /** The next entry to send. */
+  /** The index of the next entry to send. */
   LogIndex mNext;
-  /** Entries are on their way; more wait for the answer, as one batch. */
+  /**
+   * Entries have been sent and not yet acknowledged; further ones wait and go
+   * as one batch.
+   */
   bool mAwaiting = false;
-  /** When the last round that it answered was sent. */
+  /** When the latest round that the replica acknowledged was sent. */
   std::optional<TimePoint> mAnsweredAt;
   std::optional<TimePoint> mSnapshotSentAt;
 };
--- a/include/peridotspool/control/MachineState.h
+++ b/include/peridotspool/control/MachineState.h
@@ -11,13 +11,16 @@
 
 namespace peridotspool::control {
 
-/** All that the control log's commands change, apart from the replica set. */
+/**
+ * The whole state that commands of the control log change, except the replica
+ * set.
+ */
 struct MachineState
 {
   SettingsState mSettings;
   MembershipState mMembership;
   FencingNumber mLastFencing;
-  /** The last windows of usage that were settled, in rising order. */
+  /** The latest windows of usage with final values, in ascending order. */
   std::vector<gateway::UsageWindow> mUsage;
   routing::QuarantineTable mQuarantine;
   rollout::RolloutTable mRollouts;
--- a/include/peridotspool/control/MembershipState.h
+++ b/include/peridotspool/control/MembershipState.h
@@ -9,16 +9,19 @@
 
 namespace peridotspool::control {
 
-/** The replicated member list with its latest epochs. */
+/** The replicated member list and its latest epochs. */
 struct MembershipState
 {
   membership::EpochMap mCurrent;
-  /** The oldest epoch kept; mChanges lead from it to mCurrent. */
+  /** The oldest retained epoch; mChanges lead from it to mCurrent. */
   membership::EpochMap mOldest;
   std::vector<membership::EpochChange> mChanges;
-  /** The processes behind the current members. */
+  /** The processes of the current members. */
   std::map<membership::EntryNonce, MemberId> mNonces;
-  /** Processes removed lately; a late heartbeat must not revive them. */
+  /**
+   * Recently removed processes; a delayed heartbeat must not make them members
+   * again.
+   */
   std::vector<membership::EntryNonce> mRemovedNonces;
   MemberId mLastMember;
 
--- a/include/peridotspool/control/OperatorRequest.h
+++ b/include/peridotspool/control/OperatorRequest.h
@@ -15,11 +15,11 @@
 
 namespace peridotspool::control {
 
-/** Replaces the settings tree; safe to resend with the same edit id. */
+/** Replaces the settings tree. Idempotent for the same edit id. */
 struct EditRequest
 {
   EditId mEdit;
-  /** The revision that the new text was made from. */
+  /** The revision that the new text is based on. */
   Revision mBase;
   std::string mText;
   std::string mAuthor;
@@ -28,18 +28,21 @@
 };
 BOOST_DESCRIBE_STRUCT(EditRequest, (), (mEdit, mBase, mText, mAuthor))
 
-/** Asks until when a revision is in force on all live entries. */
+/** Waits until a revision is in force on all live entries. */
 struct InForceRequest
 {
   Revision mRevision;
-  /** Answer after this long even if some entries are missing. */
+  /**
+   * The maximum wait; the response is sent then even if some entries are
+   * missing.
+   */
   Duration mWait{ 0 };
 
   auto operator<=>(const InForceRequest&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(InForceRequest, (), (mRevision, mWait))
 
-/** Asks for the settings text, of the newest revision unless one is given. */
+/** Requests the settings text, of the newest revision unless one is given. */
 struct SettingsRequest
 {
   std::optional<Revision> mRevision;
@@ -48,7 +51,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SettingsRequest, (), (mRevision))
 
-/** Asks for the latest changes. */
+/** Requests the latest changes. */
 struct HistoryRequest
 {
   std::uint64_t mLimit = 20;
@@ -57,7 +60,7 @@
 };
 BOOST_DESCRIBE_STRUCT(HistoryRequest, (), (mLimit))
 
-/** Asks for the texts of two revisions. */
+/** Requests the texts of two revisions. */
 struct DiffRequest
 {
   Revision mFrom;
@@ -67,7 +70,7 @@
 };
 BOOST_DESCRIBE_STRUCT(DiffRequest, (), (mFrom, mTo))
 
-/** Marks an entry as leaving; it hands over and is then removed. */
+/** Marks an entry as leaving; it hands over its work and is then removed. */
 struct DrainRequest
 {
   EntryName mEntry;
@@ -82,7 +85,7 @@
 };
 BOOST_DESCRIBE_STRUCT(StatusRequest, (), ())
 
-/** Takes the next fencing number, for one order to an engine. */
+/** Allocates the next fencing number, for one order to an engine. */
 struct FencingRequest
 {
   auto operator<=>(const FencingRequest&) const = default;
@@ -102,7 +105,7 @@
 };
 BOOST_DESCRIBE_STRUCT(DocumentRequest, (), (mVersion, mText))
 
-/** Settles one window of usage; of the leader to itself. */
+/** Fixes one window of usage; sent by the leader to itself. */
 struct UsageRequest
 {
   gateway::UsageWindow mWindow;
@@ -111,7 +114,10 @@
 };
 BOOST_DESCRIBE_STRUCT(UsageRequest, (), (mWindow))
 
-/** Commits the floors of customers' balances; of the leader to itself. */
+/**
+ * Commits the lower bounds (floors) of the customers' balances; sent by the
+ * leader to itself.
+ */
 struct QuotaFloorsRequest
 {
   gateway::QuotaFloors mFloors;
@@ -120,14 +126,16 @@
 };
 BOOST_DESCRIBE_STRUCT(QuotaFloorsRequest, (), (mFloors))
 
-/** Asks which contents are treated unlike others. */
+/** Requests the quarantine rows: contents that are treated specially. */
 struct QuarantineRequest
 {
   auto operator<=>(const QuarantineRequest&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(QuarantineRequest, (), ())
 
-/** Changes contents' treatment: of the leader, or of an operator who lifts it.
+/**
+ * Changes the quarantine state of contents; sent by the leader, or by an
+ * operator to lift it.
  */
 struct QuarantineChangeRequest
 {
@@ -137,7 +145,7 @@
 };
 BOOST_DESCRIBE_STRUCT(QuarantineChangeRequest, (), (mChanges))
 
-/** Orders a rollout; safe to resend. */
+/** Starts a rollout. Idempotent. */
 struct RolloutStartRequest
 {
   rollout::RolloutOrder mOrder;
@@ -146,7 +154,7 @@
 };
 BOOST_DESCRIBE_STRUCT(RolloutStartRequest, (), (mOrder))
 
-/** Asks for rollouts, of one service if it is set. */
+/** Requests the rollouts, of one service if mService is set. */
 struct RolloutsRequest
 {
   ServiceName mService;
@@ -155,18 +163,18 @@
 };
 BOOST_DESCRIBE_STRUCT(RolloutsRequest, (), (mService))
 
-/** Rolls back what is being rolled out for a service. */
+/** Aborts and rolls back the current rollout of a service. */
 struct RolloutAbortRequest
 {
   ServiceName mService;
-  /** Time of day in microseconds. */
+  /** Wall-clock time in microseconds. */
   std::int64_t mMicros = 0;
 
   auto operator<=>(const RolloutAbortRequest&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(RolloutAbortRequest, (), (mService, mMicros))
 
-/** Ends or extends a rollout; of the leader to itself. */
+/** Ends or extends a rollout; sent by the leader to itself. */
 struct RolloutChangeRequest
 {
   std::variant<rollout::RolloutEnd, rollout::RolloutAdvance> mChange;
--- a/include/peridotspool/control/OperatorResponse.h
+++ b/include/peridotspool/control/OperatorResponse.h
@@ -17,12 +17,12 @@
 
 namespace peridotspool::control {
 
-/** Is a revision in force everywhere? */
+/** Whether a revision is in force on all entries. */
 struct InForceResponse
 {
   Revision mRevision;
   bool mInForce = false;
-  /** Live entries that don't work by it yet. */
+  /** Live entries that haven't applied it yet. */
   std::vector<EntryName> mMissing;
 
   auto operator<=>(const InForceResponse&) const = default;
@@ -38,7 +38,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SettingsResponse, (), (mRevision, mText))
 
-/** From the newest change on. */
+/** The latest changes, newest first. */
 struct HistoryResponse
 {
   std::vector<SettingsChange> mChanges;
@@ -66,18 +66,18 @@
 };
 BOOST_DESCRIBE_STRUCT(DrainResponse, (), (mMember, mEpoch))
 
-/** One control replica as the answering one sees it. */
+/** One control replica as seen by the responding replica. */
 struct ReplicaStatus
 {
   ReplicaInfo mInfo;
-  /** Synced up to here, as far as the leader knows. */
+  /** The last index known to the leader to be synced on it. */
   LogIndex mMatch;
 
   auto operator<=>(const ReplicaStatus&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(ReplicaStatus, (), (mInfo, mMatch))
 
-/** One entry as the answering replica sees it. */
+/** One entry as seen by the responding replica. */
 struct EntryStatus
 {
   membership::Member mMember;
@@ -89,7 +89,7 @@
 };
 BOOST_DESCRIBE_STRUCT(EntryStatus, (), (mMember, mInForce, mEpoch, mSilentFor))
 
-/** Answered by every replica; only the leader's view of entries is whole. */
+/** Sent by any replica; only the leader's view of entries is complete. */
 struct StatusResponse
 {
   ReplicaId mSelf;
@@ -136,7 +136,10 @@
 };
 BOOST_DESCRIBE_STRUCT(DocumentResponse, (), (mNewest, mRevision))
 
-/** Ask the leader; nothing was done here. */
+/**
+ * This replica doesn't lead and did nothing; the request is to be sent to the
+ * leader.
+ */
 struct NotLeaderResponse
 {
   std::optional<Address> mLeader;
@@ -145,7 +148,10 @@
 };
 BOOST_DESCRIBE_STRUCT(NotLeaderResponse, (), (mLeader))
 
-/** Leadership was lost meanwhile: it may be done or not. Resend it as it is. */
+/**
+ * Leadership was lost while the request was pending: it may or may not have
+ * taken effect. The client should resend it unchanged.
+ */
 struct UncertainResponse
 {
   std::optional<Address> mLeader;
@@ -154,7 +160,7 @@
 };
 BOOST_DESCRIBE_STRUCT(UncertainResponse, (), (mLeader))
 
-/** Can't be done; nothing was changed. */
+/** The request can't be carried out; nothing was changed. */
 struct RefusedResponse
 {
   std::string mReason;
@@ -163,7 +169,7 @@
 };
 BOOST_DESCRIBE_STRUCT(RefusedResponse, (), (mReason))
 
-/** The contents that are treated unlike others, as committed. */
+/** The committed quarantine rows: contents that are treated specially. */
 struct QuarantineResponse
 {
   std::vector<routing::QuarantineRow> mRows;
@@ -172,7 +178,7 @@
 };
 BOOST_DESCRIBE_STRUCT(QuarantineResponse, (), (mRows))
 
-/** How an order of a rollout was judged, and the service's latest rollout. */
+/** The verdict on a rollout order, and the service's latest rollout. */
 struct RolloutOrderResponse
 {
   rollout::OrderVerdict mVerdict = rollout::OrderVerdict::kStarted;
@@ -182,7 +188,7 @@
 };
 BOOST_DESCRIBE_STRUCT(RolloutOrderResponse, (), (mVerdict, mLatest))
 
-/** Rollouts as committed, the oldest first. */
+/** The committed rollouts, oldest first. */
 struct RolloutsResponse
 {
   std::vector<rollout::Rollout> mRollouts;
--- a/include/peridotspool/control/PersistEffect.h
+++ b/include/peridotspool/control/PersistEffect.h
@@ -10,11 +10,12 @@
 namespace peridotspool::control {
 
 /**
- * One write to the disk. The host carries writes out in the order of their
- * tokens: reset (it drops all that was written before), identity, snapshot (it
- * replaces all entries up to its index), cut, append, vote; syncs; and then
- * reports SyncedEvent with the token. It may sync several writes together and
- * report the last token only. When a write fails, the host stops the process.
+ * One write to disk. The host carries writes out in the order of their tokens.
+ * Within a write the order is: reset (drops everything written before),
+ * identity, snapshot (replaces all entries up to its index), cut, append, vote.
+ * The host then syncs and reports SyncedEvent with the token. It may sync
+ * several writes together and report the last token only. When a write fails,
+ * the host stops the process.
  */
 struct PersistEffect
 {
@@ -37,7 +38,10 @@
   (),
   (mToken, mIdentity, mSnapshot, mCutFrom, mAppend, mVote, mReset))
 
-/** Carries a write out on a state in memory; what a disk must end up with. */
+/**
+ * Applies a write to a state in memory. A disk must end up with the same
+ * result.
+ */
 void
 ApplyPersist(RestoredState& aState, const PersistEffect& aWrite);
 
--- a/include/peridotspool/control/ReplicaMessage.h
+++ b/include/peridotspool/control/ReplicaMessage.h
@@ -12,14 +12,19 @@
 
 namespace peridotspool::control {
 
-/** A replica asks for a vote, or whether it would get one (pre-vote). */
+/**
+ * A candidate's request for a vote, or for a pre-vote (whether it would get the
+ * vote).
+ */
 struct VoteRequest
 {
   Term mTerm;
   bool mPreVote = false;
   LogIndex mLastIndex;
   Term mLastTerm;
-  /** All voters have restarted and have heard no leader since; see VoteReply.
+  /**
+   * All voters have restarted and received nothing from a leader since; see
+   * VoteReply.
    */
   bool mAllRestarted = false;
 
@@ -31,13 +36,13 @@
 
 struct VoteReply
 {
-  /** The voter's term; for a granted pre-vote the term that was asked for. */
+  /** The voter's term; for a granted pre-vote the requested term. */
   Term mTerm;
   bool mPreVote = false;
   bool mGranted = false;
   /**
-   * Of a pre-vote: the voter has led nobody and heard no leader since its
-   * process started, is in the asker's term, and would vote for it.
+   * For a pre-vote: the voter has neither led nor heard from a leader since its
+   * process started, is in the candidate's term, and would vote for it.
    */
   bool mRestarted = false;
 
@@ -45,7 +50,7 @@
 };
 BOOST_DESCRIBE_STRUCT(VoteReply, (), (mTerm, mPreVote, mGranted, mRestarted))
 
-/** The leader's entries; without entries a heartbeat. */
+/** Entries from the leader; a heartbeat when there are none. */
 struct AppendRequest
 {
   Term mTerm;
@@ -62,20 +67,26 @@
   (),
   (mTerm, mRound, mPreviousIndex, mPreviousTerm, mEntries, mCommit))
 
-/** Answers AppendRequest and InstallSnapshot, after the disk has synced. */
+/**
+ * The reply to AppendRequest and InstallSnapshot, sent after the disk has
+ * synced.
+ */
 struct AppendReply
 {
   Term mTerm;
   RoundNumber mRound;
   bool mAccepted = false;
-  /** Accepted: synced up to here as the leader has it. Else: try from here. */
+  /**
+   * When accepted: the last index that is synced and matches the leader's log.
+   * Otherwise: the index from which the leader should retry.
+   */
   LogIndex mIndex;
 
   auto operator<=>(const AppendReply&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(AppendReply, (), (mTerm, mRound, mAccepted, mIndex))
 
-/** For a follower that lacks entries which the leader no longer keeps. */
+/** Sent to a follower that lacks entries which the leader no longer retains. */
 struct InstallSnapshot
 {
   Term mTerm;
@@ -86,7 +97,7 @@
 };
 BOOST_DESCRIBE_STRUCT(InstallSnapshot, (), (mTerm, mRound, mSnapshot))
 
-/** A member that a control replica has not heard from lately. */
+/** A member from which a control replica has received nothing recently. */
 struct SilentMember
 {
   MemberId mMember;
@@ -96,11 +107,13 @@
 };
 BOOST_DESCRIBE_STRUCT(SilentMember, (), (mMember, mSilentFor))
 
-/** A follower tells the leader whom it does not hear. */
+/**
+ * A follower's report to the leader of the members it receives nothing from.
+ */
 struct SilenceReport
 {
   Term mTerm;
-  /** The member list that the report speaks of. */
+  /** The epoch of the member list that the report refers to. */
   EpochNumber mEpoch;
   std::vector<SilentMember> mSilent;
 
@@ -108,14 +121,14 @@
 };
 BOOST_DESCRIBE_STRUCT(SilenceReport, (), (mTerm, mEpoch, mSilent))
 
-/** A replica with an empty folder asks for an identity. */
+/** The request of a replica with an empty folder for an identity. */
 struct JoinRequest
 {
   ReplicaName mName;
   FailureDomain mDomain;
   Address mAddress;
   JoinNonce mNonce;
-  /** It has no disk: what it has is gone with its process. */
+  /** The replica has no disk: its state is lost when its process ends. */
   bool mVolatile = false;
 
   auto operator<=>(const JoinRequest&) const = default;
@@ -129,9 +142,9 @@
   JoinNonce mNonce;
   /** Set once the log has committed the identity. */
   std::optional<ReplicaId> mReplica;
-  /** Where the leader is, when this replica isn't it. */
+  /** The leader's address, when this replica doesn't lead. */
   std::optional<Address> mLeader;
-  /** Why not, for people. */
+  /** A human-readable reason for the refusal. */
   std::string mReason;
 
   auto operator<=>(const JoinReply&) const = default;
@@ -139,8 +152,8 @@
 BOOST_DESCRIBE_STRUCT(JoinReply, (), (mNonce, mReplica, mLeader, mReason))
 
 /**
- * The committed replica set no longer holds the identity that was spoken for.
- * Identities are never given twice, so this is final.
+ * The committed replica set no longer contains the identity that the recipient
+ * uses. Identities are never reused, so this is final.
  */
 struct RemovedNotice
 {
@@ -160,14 +173,14 @@
                                     JoinReply,
                                     RemovedNotice>;
 
-/** What travels between control replicas. */
+/** The envelope of every message between control replicas. */
 struct ReplicaEnvelope
 {
-  /** Zero from or to a replica that has no identity yet. */
+  /** Zero in messages from or to a replica without an identity. */
   SystemId mSystem;
   ReplicaId mFrom;
   ReplicaId mTo;
-  /** Where the sender is reached; a new learner knows no addresses yet. */
+  /** The sender's address, because a new learner knows no addresses yet. */
   Address mReplyTo;
   ReplicaMessage mMessage;
 
--- a/include/peridotspool/control/ReplicaSet.h
+++ b/include/peridotspool/control/ReplicaSet.h
@@ -11,19 +11,21 @@
 
 namespace peridotspool::control {
 
-/** One control replica as the log knows it. */
+/** One control replica as recorded in the log. */
 struct ReplicaInfo
 {
   ReplicaId mId;
   ReplicaName mName;
   FailureDomain mDomain;
-  /** Where the other replicas reach it. */
+  /** The address at which the other replicas reach it. */
   Address mAddress;
-  /** The process that asked to join; zero for the replica made by `init`. */
+  /**
+   * The process that requested to join; zero for the replica created by `init`.
+   */
   JoinNonce mNonce;
-  /** A learner (false) receives the log, but counts in no majority. */
+  /** False for a learner, which receives the log but counts in no majority. */
   bool mVoter = false;
-  /** It has no disk, and so never becomes a voter. */
+  /** The replica has no disk and so never becomes a voter. */
   bool mVolatile = false;
 
   auto operator<=>(const ReplicaInfo&) const = default;
@@ -37,7 +39,7 @@
 struct ReplicaSet
 {
   std::vector<ReplicaInfo> mReplicas;
-  /** The id for the next replica; ids are never used again. */
+  /** The id for the next replica; ids are never reused. */
   ReplicaId mNextId;
 
   /** Returns the replica with this id, or null. */
--- a/include/peridotspool/control/RestoredState.h
+++ b/include/peridotspool/control/RestoredState.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::control {
 
-/** Who a replica is; written once into its data folder. */
+/** A replica's identity; written once into its data folder. */
 struct ReplicaIdentity
 {
   SystemId mSystem;
@@ -20,7 +20,9 @@
 };
 BOOST_DESCRIBE_STRUCT(ReplicaIdentity, (), (mSystem, mReplica))
 
-/** The highest term that a replica knows, and whom it voted for in it. */
+/**
+ * The highest term known to a replica, and the replica that it voted for in it.
+ */
 struct VoteRecord
 {
   Term mTerm;
@@ -31,10 +33,13 @@
 };
 BOOST_DESCRIBE_STRUCT(VoteRecord, (), (mTerm, mVotedFor))
 
-/** What was synced before a replica stopped. */
+/** The state that was synced before a replica stopped. */
 struct RestoredState
 {
-  /** Empty for an empty folder: such a replica neither votes nor elects. */
+  /**
+   * Empty for an empty folder: such a replica neither votes nor stands for
+   * election.
+   */
   std::optional<ReplicaIdentity> mIdentity;
   VoteRecord mVote;
   std::optional<Snapshot> mSnapshot;
@@ -48,18 +53,18 @@
                       (mIdentity, mVote, mSnapshot, mEntries))
 
 /**
- * Returns the first state of a new system with one voter, for an explicit
+ * Returns the initial state of a new system with one voter, for an explicit
  * `init`. Other replicas start with empty folders and join through the log.
  */
 RestoredState
 InitialState(SystemId aSystem, ReplicaInfo aFirst);
 
 /**
- * Returns the first state of a new system whose founders all know each other's
- * addresses: each of them makes the same one, without a message between them.
+ * Returns the initial state of a new system whose founders all know each
+ * other's addresses: each computes the same state without exchanging messages.
  * Returns an empty state iff aSelf is no founder. To be used only where the
- * settings say that the whole system starts for the first time: a replica that
- * founded with a lost disk would outvote what the others acknowledged.
+ * settings declare that the whole system starts for the first time: a founder
+ * that lost its disk could otherwise outvote what the others acknowledged.
  */
 RestoredState
 FoundingState(const Address& aSelf, std::vector<Address> aFounders);
--- a/include/peridotspool/control/SettingsState.h
+++ b/include/peridotspool/control/SettingsState.h
@@ -23,7 +23,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SettingsChange, (), (mRevision, mEdit, mAuthor, mDelta))
 
-/** The first answer to an edit, kept for resends. */
+/** The first response to an edit, retained for resends. */
 struct EditRecord
 {
   std::uint64_t mDigest = 0;
@@ -33,18 +33,22 @@
 };
 BOOST_DESCRIBE_STRUCT(EditRecord, (), (mDigest, mAnswer))
 
-/** The replicated settings: the whole tree's text and its latest changes. */
+/**
+ * The replicated settings: the text of the whole tree and its latest changes.
+ */
 struct SettingsState
 {
   Revision mRevision;
-  /** YAML of the whole tree at mRevision; opaque here. */
+  /** The whole tree at mRevision as YAML; not interpreted here. */
   std::string mText;
-  /** The latest changes in rising order, up to mRevision; bounded. */
+  /** The latest changes in ascending order up to mRevision; bounded. */
   std::vector<SettingsChange> mHistory;
   std::map<EditId, EditRecord> mEdits;
-  /** Ids of mEdits from the oldest on; bounded. */
+  /** The ids of mEdits, oldest first; bounded. */
   std::vector<EditId> mEditOrder;
-  /** The operator's number of mText; 0 when edits made it. */
+  /**
+   * The version that the operator assigned to mText; 0 when edits produced it.
+   */
   std::uint64_t mDocument = 0;
 
   auto operator<=>(const SettingsState&) const = default;
--- a/include/peridotspool/control/Snapshot.h
+++ b/include/peridotspool/control/Snapshot.h
@@ -7,7 +7,7 @@
 
 namespace peridotspool::control {
 
-/** The state after the log's entries up to and with mIndex. */
+/** The state after the log's entries up to and including mIndex. */
 struct Snapshot
 {
   LogIndex mIndex;
--- a/include/peridotspool/control/StateMachine.h
+++ b/include/peridotspool/control/StateMachine.h
@@ -12,13 +12,15 @@
 
 namespace peridotspool::control {
 
-/** The command changes nothing that anybody waits for. */
+/** The command has no result that a pending request waits for. */
 struct NoResultApplied
 {
   auto operator<=>(const NoResultApplied&) const = default;
 };
 
-/** The membership command made this epoch; unset when it changed nothing. */
+/**
+ * The epoch that the membership command created; unset when it changed nothing.
+ */
 struct EpochApplied
 {
   EpochNumber mEpoch;
@@ -26,7 +28,7 @@
   auto operator<=>(const EpochApplied&) const = default;
 };
 
-/** A document was judged; the newest one now has this version. */
+/** A document was evaluated; the newest one now has this version. */
 struct DocumentApplied
 {
   std::uint64_t mNewest = 0;
@@ -34,13 +36,13 @@
   auto operator<=>(const DocumentApplied&) const = default;
 };
 
-/** Contents' treatment has changed. */
+/** The quarantine table has changed. */
 struct QuarantineApplied
 {
   auto operator<=>(const QuarantineApplied&) const = default;
 };
 
-/** A rollout was ordered; how, and which it is. */
+/** A rollout order was evaluated: the verdict and the rollout. */
 struct RolloutOrdered
 {
   rollout::OrderVerdict mVerdict = rollout::OrderVerdict::kStarted;
@@ -58,7 +60,7 @@
   auto operator<=>(const RolloutChanged&) const = default;
 };
 
-/** What applying a command gave. */
+/** The result of applying a command. */
 using ApplyResult = std::variant<NoResultApplied,
                                  EditResponse,
                                  EpochApplied,
@@ -68,7 +70,9 @@
                                  RolloutOrdered,
                                  RolloutChanged>;
 
-/** The state that the control log's commands make; alike on all replicas. */
+/**
+ * The state produced by the control log's commands; identical on all replicas.
+ */
 class StateMachine
 {
 public:
@@ -81,10 +85,12 @@
   /** Checksum of the newest settings text. */
   std::uint64_t SettingsDigest() const { return mSettingsDigest; }
 
-  /** Returns the first answer to an edit, or empty when it is unknown. */
+  /**
+   * Returns the first response to an edit, or empty when the edit is unknown.
+   */
   std::optional<EditResponse> KnownEdit(const EditId& aEdit,
                                         std::uint64_t aDigest) const;
-  /** Returns the text of a revision; empty when it is no longer kept. */
+  /** Returns the text of a revision; empty when it is no longer retained. */
   std::optional<std::string> TextAt(Revision aRevision,
                                     LastReason& aReason) const;
 
@@ -115,7 +121,9 @@
   std::uint64_t mSettingsDigest = 0;
 };
 
-/** Tells edits apart that (wrongly) carry the same id. */
+/**
+ * Returns a checksum that distinguishes edits that (wrongly) carry the same id.
+ */
 std::uint64_t
 EditDigest(Revision aBase, const std::string& aText);
 
--- a/include/peridotspool/control/StateMachineOptions.h
+++ b/include/peridotspool/control/StateMachineOptions.h
@@ -4,7 +4,7 @@
 
 namespace peridotspool::control {
 
-/** Bounds of the replicated state; the same on all replicas. */
+/** Limits of the replicated state; identical on all replicas. */
 struct StateMachineOptions
 {
   std::size_t mMaxHistory = 1000;
--- a/src/control/Consensus.cpp
+++ b/src/control/Consensus.cpp
@@ -34,9 +34,10 @@
     mLog.Append(std::move(entry));
   }
   mDurable = mLog.LastIndex();
-  // A restarted replica forgot when it last heard a leader, who may still
-  // count on its silence. Voting at once would elect a second leader within
-  // the first one's lease; so it starts as if it had heard one just now.
+  // A restarted replica no longer knows when it last heard from a leader, whose
+  // lease may still rely on this replica not voting. Voting at once could elect
+  // a second leader within the first one's lease, so the replica starts as if
+  // it had just received a heartbeat.
   mHeardLeaderAt = aNow;
   mStartedAt = aNow;
   SetStartupElectionTimer(1);
@@ -86,8 +87,8 @@
   if (mRole != Role::kLeader) {
     return;
   }
-  // Two changes of the replica set under way at once could leave two
-  // majorities without a common replica, and so two leaders.
+  // Two concurrent changes of the replica set could produce two majorities
+  // without a common replica, and so two leaders.
   const bool changesSet =
     std::holds_alternative<ReplicaSetCommand>(aEvent.mCommand);
   if (changesSet && (!ReplicaSetSettled() || mCommit < mFirstOwnIndex)) {
--- a/src/control/ConsensusElection.cpp
+++ b/src/control/ConsensusElection.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** An election that was split is given up after two to four of them. */
+/**
+ * A split election at startup is abandoned after two to four startup election
+ * periods.
+ */
 constexpr int kElectionPeriods = 4;
 
 } // namespace
@@ -16,7 +19,8 @@
 void
 Consensus::ResetElectionTimer()
 {
-  // Not std::uniform_int_distribution: its numbers differ between libraries.
+  // std::uniform_int_distribution isn't used because its results differ between
+  // standard libraries.
   const auto range =
     static_cast<std::uint64_t>(mOptions.mElectionTimeout.count());
   const auto extra = static_cast<Duration::rep>(mRandom() % range);
@@ -63,8 +67,8 @@
   return aRequest.mLastIndex >= mLog.LastIndex();
 }
 
-// Without the pre-vote, a replica that was cut off raises its term over and
-// over, and pushes a healthy leader out when it comes back.
+// Without the pre-vote, a partitioned replica would raise its term repeatedly
+// and depose a healthy leader when it reconnects.
 void
 Consensus::StartPreVote()
 {
@@ -94,7 +98,7 @@
   } else {
     ResetElectionTimer();
   }
-  // The own vote counts once it has synced; see Handle(SyncedEvent).
+  // The replica's own vote counts once it has synced; see Handle(SyncedEvent).
   SaveVote(mVote.mTerm.Next(), mSelf);
   RequestVotes(false);
 }
@@ -132,7 +136,8 @@
     return;
   }
   if (mRole == Role::kPreCandidate) {
-    // Its own vote would be one too: it has to keep its own silence as well.
+    // Standing for election includes a vote for itself, which a recent message
+    // from a leader forbids as well.
     if (!HasHeardLeaderRecently()) {
       StartElection();
     }
@@ -153,18 +158,20 @@
                      });
 }
 
-// After all replicas were killed at once, every one of them would keep its
-// silence for a leader that is dead too, and nobody would be served meanwhile.
-// A lease is held by a voter's process that has led; where each voter says that
-// it has neither led nor heard a leader since it started, no lease is left.
+// After all replicas are killed at once, each would withhold its vote for the
+// lease of a leader that is gone too, and no request would be served meanwhile.
+// A lease is held only by a voter's process that has led; when every voter
+// reports that it has neither led nor heard from a leader since it started, no
+// lease is left.
 //
-// All of them have to be in the asker's term. Otherwise one that answers, leads
-// by an older term, and is given a lease by a voter that then restarts, could
-// still hold it when that voter helps the asker. In the same term it could lead
-// by a later term only, which the one that gave it the lease would know of.
+// All voters must be in the candidate's term. Otherwise a voter could reply,
+// then lead in an older term and obtain a lease through a voter that restarts
+// afterwards, and still hold the lease when that restarted voter votes for the
+// candidate. In the same term it could lead only in a later term, which the
+// voter that granted the lease would know.
 //
-// A voter that came back with an empty disk can't say it, and needs not: it has
-// ended, so it holds no lease, and it gives none.
+// A voter that restarted with an empty disk can't report this and needn't: its
+// identity has ended, so it holds no lease and grants none.
 void
 Consensus::CountRestarted(ReplicaId aFrom)
 {
@@ -180,8 +187,8 @@
 void
 Consensus::HandleMessage(ReplicaId aFrom, const VoteRequest& aRequest)
 {
-  // While a leader may count on this replica, no other is helped: the leader's
-  // lease is worth something only because of this.
+  // No vote is granted while a leader's lease may rely on this replica; the
+  // lease is valid only because of this rule.
   const bool hears =
     HasHeardLeaderRecently() && !(aRequest.mAllRestarted && HasSeenNoLeader());
   if (aRequest.mPreVote) {
@@ -190,7 +197,7 @@
     const bool restarted = aRequest.mTerm == mVote.mTerm.Next() &&
                            HasSeenNoLeader() && IsUpToDate(aRequest);
     if (restarted && aFrom < mSelf) {
-      // With one voter lost, two that both stand have one vote each.
+      // With one of three voters lost, two candidates would get one vote each.
       mDefersElectionUntil = mNow + mOptions.mStartupElectionPeriod;
     }
     Send(
@@ -266,7 +273,8 @@
   mVotes.clear();
   mProgress.clear();
   RefreshProgress();
-  // Entries of older terms are committed only together with one of this term.
+  // Entries of older terms are committed only together with an entry of this
+  // term.
   mFirstOwnIndex = mLog.LastIndex().Next();
   AppendEntry({ .mIndex = mFirstOwnIndex,
                 .mTerm = mVote.mTerm,
--- a/src/control/ConsensusFollower.cpp
+++ b/src/control/ConsensusFollower.cpp
@@ -30,7 +30,8 @@
     return;
   }
   const LogIndex previous = aRequest.mPreviousIndex;
-  // Up to the commit index all logs are alike, so only later places can differ.
+  // Up to the commit index all logs are identical, so only later entries can
+  // differ.
   if (previous > mCommit && mLog.TermAt(previous) != aRequest.mPreviousTerm) {
     ReplyAppend(
       aFrom, aRequest.mRound, false, FirstPossiblyDivergent(previous));
--- a/src/control/ConsensusLeader.cpp
+++ b/src/control/ConsensusLeader.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Rounds remembered; an answer to an older one extends no lease. */
+/** The number of rounds tracked; a reply to an older round extends no lease. */
 constexpr std::size_t kMaxRounds = 64;
 
 } // namespace
@@ -191,8 +191,8 @@
   return answered && aNow < *answered + mOptions.LeaseDuration();
 }
 
-// A leader that was cut off would otherwise keep the role for as long as the
-// cut lasts, and hold its operators' requests without an answer.
+// A partitioned leader would otherwise remain leader as long as the partition
+// lasts, and leave its operators' requests unanswered.
 void
 Consensus::CheckQuorum()
 {
--- a/src/control/ConsensusWrites.cpp
+++ b/src/control/ConsensusWrites.cpp
@@ -1,4 +1,4 @@
-// How messages wait for the disk.
+// Delays messages until the writes they depend on have synced.
 
 #include "peridotspool/base/Overloaded.h"
 #include "peridotspool/control/Consensus.h"
@@ -17,9 +17,9 @@
   mEffects.emplace_back(SendReplicaEffect{ aTo, std::move(aMessage) });
 }
 
-// A promise (a vote, an acknowledged entry) that left before its sync would be
-// forgotten by a crash while others build on it: two leaders in one term, or a
-// committed edit that is gone. So promises wait behind the last write.
+// A promise (a vote or an acknowledged entry) sent before its sync could be
+// lost in a crash while others rely on it, which would allow two leaders in one
+// term or lose a committed edit. Promises therefore wait for the latest write.
 void
 Consensus::SendAfterSync(ReplicaId aTo, ReplicaMessage aMessage)
 {
@@ -57,7 +57,8 @@
       [](const AppendReply& aMessage) { return aMessage.mTerm; },
       [this](const auto&) { return mVote.mTerm; },
     };
-    // A promise to an older term's leader is void once a newer term is known.
+    // A promise to the leader of an older term is void once a newer term is
+    // known.
     if (std::visit(termOf, held.mSend.mMessage) == mVote.mTerm) {
       mEffects.emplace_back(std::move(held.mSend));
     }
--- a/src/control/ControlEntries.cpp
+++ b/src/control/ControlEntries.cpp
@@ -17,13 +17,16 @@
 
 namespace {
 
-/** A member not heard for this long is reported to the leader. */
+/**
+ * A member from which nothing was received for this long is reported to the
+ * leader.
+ */
 constexpr Duration kSilenceReportThreshold = std::chrono::milliseconds(650);
 constexpr Duration kReportPeriod = std::chrono::milliseconds(200);
 constexpr Duration kExpirePeriod = std::chrono::seconds(5);
-/** One answer in so many names the replicas. */
+/** One heartbeat response in this many lists the control replicas. */
 constexpr std::uint64_t kReplicaListInterval = 4;
-/** Pushes at once go to processes heard within this time. */
+/** Immediate pushes go to processes heard from within this time. */
 constexpr Duration kRecentlyHeardTimeout = std::chrono::seconds(1);
 
 const Member*
@@ -79,10 +82,10 @@
   answer.mSequence = aHeartbeat.mSequence;
   answer.mLeaderHint = LeaderAddress();
   // Without the lease another replica may lead and have committed newer
-  // settings: confirming the ones known here would let the entry serve by old
-  // ones.
+  // settings. Confirming the settings known here would let the entry serve
+  // under outdated ones.
   if (!Leads(mNow)) {
-    // Only an entry that has lost the leader looks at them.
+    // Only an entry that has lost the leader uses these addresses.
     if (aHeartbeat.mSequence % kReplicaListInterval == 1) {
       answer.mControls = ReplicaAddresses();
     }
@@ -183,9 +186,9 @@
 }
 
 // Right after a commit, entries that are nearly up to date get the change at
-// once. The others get what they lack with their next heartbeats, spread over
-// a heartbeat period, so that a whole tree isn't copied for all of them at the
-// same moment.
+// once. The others get the missing changes with their next heartbeats, spread
+// over a heartbeat period, so that the whole tree isn't copied for all of them
+// at the same moment.
 void
 ControlNodeState::PushToAll()
 {
@@ -248,7 +251,7 @@
   Notice(ControlNotice::kEpochMade,
          "epoch=" + std::to_string(members.mCurrent.mEpoch.Value()) +
            " members=" + std::to_string(members.mCurrent.mMembers.size()));
-  // Drains that waited for this epoch, or whose member is gone.
+  // Completes drains that waited for this epoch or whose member is gone.
   std::erase_if(mPendingDrains, [&](const auto& aPair) {
     const Member* member = FindMember(members.mCurrent, aPair.first);
     if (member != nullptr && member->mState == MemberState::kActive) {
@@ -263,9 +266,9 @@
   });
 }
 
-// A removed entry that is cut off goes on by its old settings until its last
-// confirmation is too old. If it were forgotten at once, an edit would be
-// called in force while somebody still works by the settings before it.
+// A removed entry that is partitioned keeps using its old settings until its
+// last confirmation expires. If it were dropped at once, an edit would be
+// reported in force while that entry still applies the earlier settings.
 void
 ControlNodeState::RecordRemovedEntry(const Member& aMember)
 {
--- a/src/control/ControlJoin.cpp
+++ b/src/control/ControlJoin.cpp
@@ -17,10 +17,10 @@
 }
 
 // An empty folder may belong to a replica that lost its disk, and with it its
-// votes and acknowledged entries. If it came back under its old identity, a
-// majority could be made of replicas that have all forgotten a committed edit.
-// So it gets a new identity from the log, and counts in no majority before it
-// has the whole log again.
+// votes and acknowledged entries. If it rejoined under its old identity, a
+// majority could consist of replicas that have all lost a committed edit. It
+// therefore gets a new identity from the log and counts in no majority before
+// it has the whole log again.
 void
 ControlNodeState::RequestIdentity()
 {
@@ -64,12 +64,13 @@
   }
 }
 
-// Whoever asks for an identity has none, and listens where the replica of an
-// earlier one did: that one's process is over. Without it the others would keep
-// their silence for it, half a second after everything was killed and one disk
-// lost, with nobody served meanwhile. Connections do not outlive a process, so
-// the request was sent by a process that ran after this one had started; one
-// that has got the identity since bears the nonce that it asked with.
+// A process that requests an identity has none. If it listens at the address of
+// an earlier identity's replica, that replica's process has ended. Without this
+// rule the others would withhold their votes for it, and for half a second
+// after a crash of all replicas with one lost disk no request would be served.
+// Connections don't outlive a process, so the request was sent by a process
+// that ran after this one had started. A process that has since been given the
+// identity carries the nonce that it sent with the request.
 void
 ControlNodeState::RecordReplacedReplica(const JoinRequest& aRequest)
 {
@@ -109,10 +110,10 @@
   mEffects.emplace_back(std::move(write));
 }
 
-// A voter that was cut off may lose its place meanwhile. When it comes back it
-// asks for votes for ever, and its disk is of no use to anybody; told that its
-// identity is over it can join again. Only the committed set says so: a set
-// that is not committed may still be replaced.
+// A partitioned voter may be replaced meanwhile. When it reconnects it would
+// request votes forever, and its disk is useless; once notified that its
+// identity has ended it can join again. Only the committed set decides this,
+// because an uncommitted set may still be replaced.
 bool
 ControlNodeState::NotifyIfRemoved(const ReplicaEnvelope& aEnvelope)
 {
@@ -151,7 +152,7 @@
   mOptions.mNonce = JoinNonce(mOptions.mNonce.Value() * 2654435761U + 1);
 }
 
-// A replica asks ten times a second; the log needs each reason once.
+// A replica sends ten requests a second; each reason is logged once.
 void
 ControlNodeState::LogJoinRefusal(const std::string& aText)
 {
--- a/src/control/ControlNodeState.cpp
+++ b/src/control/ControlNodeState.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** An election takes less; entries drop a replica that is silent for longer. */
+/**
+ * Elections finish within this time, and entries drop a replica that is silent
+ * for longer.
+ */
 constexpr Duration kConnectedTimeout = std::chrono::milliseconds(2000);
 
 MachineState
@@ -83,8 +86,8 @@
     HandleRemovedNotice(envelope);
     return;
   }
-  // A message of another system, or for an identity that was lost with its
-  // disk, must not count as this replica's: it never made those promises.
+  // A message of another system, or for an identity whose disk was lost, must
+  // not count for this replica: it never made the promises of that identity.
   if (!mConsensus || envelope.mSystem != mIdentity->mSystem ||
       envelope.mTo != mIdentity->mReplica) {
     return;
@@ -225,8 +228,8 @@
   }
   const PendingCall pending = found->second;
   mPendingCalls.erase(found);
-  // Another leader's entry took the place: the proposal may be in the log
-  // elsewhere or nowhere. Only a resend tells.
+  // Another leader's entry has this index: the proposal may or may not be in
+  // the log elsewhere. Only a resend determines the outcome.
   if (pending.mTerm != aEntry.mTerm) {
     Answer(pending.mCall, UncertainResponse{ LeaderAddress() });
     return;
--- a/src/control/ControlNodeState.h
+++ b/src/control/ControlNodeState.h
@@ -17,7 +17,9 @@
 
 namespace peridotspool::control {
 
-/** The parts of a control replica and how they play together. */
+/**
+ * The implementation of ControlNode: connects the parts of a control replica.
+ */
 class ControlNodeState
 {
 public:
@@ -38,7 +40,7 @@
   Term CurrentTerm() const;
 
 private:
-  /** An operator's request that waits for its log entry. */
+  /** An operator request that waits for its log entry to be applied. */
   struct PendingCall
   {
     CallId mCall;
@@ -50,7 +52,7 @@
     Revision mRevision;
     TimePoint mDeadline;
   };
-  /** A removed entry that may still take work by old settings. */
+  /** A removed entry that may still accept work under old settings. */
   struct RemovedEntry
   {
     EntryName mName;
@@ -80,7 +82,7 @@
   std::optional<Address> AddressOf(ReplicaId aReplica) const;
   void SendTo(const Address& aTo, ReplicaId aReplica, ReplicaMessage aMessage);
   void Notice(ControlNotice aNotice, std::string aText);
-  // ControlVotes.cpp: what is told of elections
+  // ControlVotes.cpp: log events about elections
   void LogVoteSent(const SendReplicaEffect& aSend);
   void LogVoteReceived(ReplicaId aFrom, const ReplicaMessage& aMessage);
   void LogVoteSaved(const PersistEffect& aWrite);
@@ -162,7 +164,7 @@
   std::optional<Consensus> mConsensus;
   std::optional<ReplicaIdentity> mIdentity;
   std::optional<Identity> mNewIdentity;
-  /** Writes up to here were given out, also by an earlier identity. */
+  /** The latest write token issued, also under an earlier identity. */
   SyncToken mLastIssuedToken;
   TimePoint mAskedAt;
   std::vector<Address> mSeeds;
@@ -180,7 +182,7 @@
   TimePoint mPlannedAt;
   TimePoint mExpiredAt;
 
-  // A leader's memory.
+  // State that only a leader has.
   std::optional<EpochPlanner> mEpochPlanner;
   std::optional<ReplicaSetPlanner> mReplicaPlanner;
   std::optional<LogIndex> mEpochProposed;
--- a/src/control/ControlOperators.cpp
+++ b/src/control/ControlOperators.cpp
@@ -1,4 +1,4 @@
-// Operators' requests.
+// Handles the requests of operators.
 
 #include "control/ControlNodeState.h"
 #include "peridotspool/base/PackedText.h"
@@ -14,8 +14,9 @@
 {
   const bool anyReplica =
     std::holds_alternative<StatusRequest>(aEvent.mRequest);
-  // Only the lease makes an answer surely the newest: a leader that was cut
-  // off without knowing it would show old settings as current ones.
+  // Only the lease guarantees that a response reflects the newest state: a
+  // leader that doesn't know it is partitioned would return old settings as
+  // current.
   if (!anyReplica && !Leads(mNow)) {
     Answer(aEvent.mCall, NotLeaderResponse{ LeaderAddress() });
     return;
@@ -103,7 +104,8 @@
     return;
   }
   const SettingsState& settings = State().mSettings;
-  // What is applied is committed, and the lease says that nothing newer is.
+  // Applied entries are committed, and the lease guarantees that nothing newer
+  // is.
   if (aRequest.mVersion <= settings.mDocument) {
     Answer(aCall,
            DocumentResponse{ .mNewest = settings.mDocument,
--- a/src/control/ControlRollouts.cpp
+++ b/src/control/ControlRollouts.cpp
@@ -1,4 +1,4 @@
-// Operators' and the leader's requests about rollouts.
+// Handles rollout requests of operators and of the leader.
 
 #include "control/ControlNodeState.h"
 
--- a/src/control/ControlVotes.cpp
+++ b/src/control/ControlVotes.cpp
@@ -1,6 +1,6 @@
-// What is told of elections. A group that elects nobody can be waiting for a
-// message, for a disk, or for a leader's lease: the lines tell which, as a
-// promise leaves only once it has synced.
+// Log events about elections. A group without a leader can be waiting for a
+// message, a disk or a leader's lease. The events show which, because a promise
+// is sent only once it has synced.
 
 #include "control/ControlNodeState.h"
 
@@ -37,7 +37,8 @@
   }
 }
 
-// A request without an answer was dropped: this replica hears a leader.
+// A request without a reply was dropped because this replica has recently heard
+// from a leader.
 void
 ControlNodeState::LogVoteReceived(ReplicaId aFrom,
                                   const ReplicaMessage& aMessage)
--- a/src/control/EntrySessions.cpp
+++ b/src/control/EntrySessions.cpp
@@ -29,7 +29,8 @@
     session->mProfile = aHeartbeat.mProfile;
   }
   session->mHeardAt = aNow;
-  // Heartbeats may be doubled or reordered; what they report only rises.
+  // Heartbeats may be duplicated or reordered; the reported values only
+  // increase.
   session->mInForce = std::max(session->mInForce, aHeartbeat.mInForce);
   session->mEpoch = std::max(session->mEpoch, aHeartbeat.mEpoch);
   session->mLeaving = session->mLeaving || aHeartbeat.mLeaving;
--- a/src/control/EntrySessions.h
+++ b/src/control/EntrySessions.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::control {
 
-/** What a control replica knows of one entry process. */
+/** A control replica's state for one entry process. */
 struct EntrySession
 {
   std::optional<membership::EntryProfile> mProfile;
@@ -20,30 +20,30 @@
   bool mLeaving = false;
   bool mDone = false;
   std::vector<MemberId> mSuspected;
-  /** The last pushes, so that they aren't repeated with every heartbeat. */
+  /** The latest pushes, so that they aren't repeated with every heartbeat. */
   Revision mPushedRevision;
   TimePoint mPushedRevisionAt;
   EpochNumber mPushedEpoch;
   TimePoint mPushedEpochAt;
 };
 
-/** What a control replica knows of one member, with or without a session. */
+/** A control replica's state for one member, with or without a session. */
 struct MemberView
 {
   membership::EntryNonce mNonce;
-  /** When it was heard last, or first known. */
+  /** When the last message was received from it, or when it became known. */
   TimePoint mHeardAt;
-  /** When this replica, as a leader, last gave it a lease. */
+  /** When this replica, as the leader, last granted it a lease. */
   std::optional<TimePoint> mGrantedAt;
 };
 
-/** The entry processes that speak with this control replica. */
+/** The entry processes that send heartbeats to this control replica. */
 class EntrySessions
 {
 public:
   explicit EntrySessions(std::size_t aMaxSessions);
 
-  /** Takes a heartbeat; returns null when the table is full. */
+  /** Records a heartbeat; returns null when the table is full. */
   EntrySession* RecordHeartbeat(membership::EntryNonce aNonce,
                                 const membership::EntryHeartbeat& aHeartbeat,
                                 TimePoint aNow);
@@ -58,7 +58,7 @@
     return mSessions;
   }
 
-  /** Takes the current members: new ones count as heard now. */
+  /** Replaces the current members; new ones count as heard from now. */
   void UpdateMembers(const std::map<membership::EntryNonce, MemberId>& aNonces,
                      TimePoint aNow);
   MemberView* Member(MemberId aMember);
@@ -67,7 +67,7 @@
   /** Returns the session of a member, or null. */
   const EntrySession* SessionOf(MemberId aMember) const;
 
-  /** Forgets processes that haven't been heard for a long time. */
+  /** Drops processes from which nothing has been received for a long time. */
   void Expire(TimePoint aNow);
 
 private:
--- a/src/control/EpochPlanner.cpp
+++ b/src/control/EpochPlanner.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/** A report of another replica counts for this long. */
+/** The maximum age of another replica's report. */
 constexpr Duration kMaxReportAge = std::chrono::seconds(1);
-/** A process heard within this time is taken for alive. */
+/** A process heard from within this time counts as alive. */
 constexpr Duration kRecentlyHeardTimeout = std::chrono::milliseconds(650);
-/** A name that stayed for this long starts without backoff again. */
+/** A name that has been a member for this long starts without backoff again. */
 constexpr Duration kRejoinBackoffReset = std::chrono::minutes(2);
 
 } // namespace
@@ -65,8 +65,8 @@
     if (member == aBefore.mMembers.end()) {
       continue;
     }
-    // A process that comes and goes would make two epochs for each flap, and
-    // every epoch moves shards. It waits longer each time.
+    // A flapping process would create two epochs for each flap, and every epoch
+    // moves shards. Its backoff grows each time.
     Rejoin& rejoin = mRejoins[member->mName];
     const bool quiet = aNow > rejoin.mNotBefore + kRejoinBackoffReset;
     rejoin.mBackoff =
@@ -108,8 +108,8 @@
   return command;
 }
 
-// One bad link between a member and one control replica must take nobody out,
-// so a majority of the voters has to miss it, each by its own hearing.
+// One faulty link between a member and one control replica must remove no
+// member, so a majority of the voters must each have received nothing from it.
 bool
 EpochPlanner::IsSilent(MemberId aMember,
                        const MemberView& aView,
@@ -154,8 +154,9 @@
       mWithheld.erase(member.mId);
       continue;
     }
-    // The member may still work on a lease from here or from the leader
-    // before. It gets no further one, and goes once the last has surely ended.
+    // The member may still hold a lease granted by this leader or the previous
+    // one. It gets no further lease and is removed once the last has certainly
+    // expired.
     if (mWithheld.insert(member.mId).second) {
       mNewlySilent.push_back(member.mId);
     }
@@ -199,7 +200,7 @@
         { .mNonce = nonce, .mProfile = *session.mProfile });
     }
   }
-  // The table has no order of its own; ids are to be given out in a stable one.
+  // The table is unordered; ids must be assigned in a stable order.
   std::sort(aCommand.mJoins.begin(),
             aCommand.mJoins.end(),
             [](const MemberJoin& aLeft, const MemberJoin& aRight) {
--- a/src/control/EpochPlanner.h
+++ b/src/control/EpochPlanner.h
@@ -16,9 +16,9 @@
 namespace peridotspool::control {
 
 /**
- * The leader's decisions about members: who joins, drains and is removed, and
- * when that makes an epoch. Its memory is a leader's: a new leader starts with
- * an empty one.
+ * The leader's decisions about members: which ones join, drain and are removed,
+ * and when the changes form an epoch. Its state isn't replicated: a new leader
+ * starts with an empty planner.
  */
 class EpochPlanner
 {
@@ -27,24 +27,27 @@
                ReplicaId aSelf,
                TimePoint aLeaderSince);
 
-  /** Another replica tells whom it doesn't hear. */
+  /** Records another replica's report of silent members. */
   void HandleSilenceReport(ReplicaId aFrom,
                            const SilenceReport& aReport,
                            TimePoint aNow);
-  /** An operator wants this member to leave. */
+  /** Records an operator's request to drain this member. */
   void HandleDrain(MemberId aMember);
-  /** An epoch was committed. */
+  /** Records a committed epoch. */
   void TakeEpoch(const membership::EpochChange& aChange,
                  const membership::EpochMap& aBefore,
                  TimePoint aNow);
 
-  /** Returns true iff the member is to get no lease, so that it can go. */
+  /**
+   * Returns true iff the member must get no further lease, because it is about
+   * to be removed.
+   */
   bool IsWithheld(MemberId aMember) const;
 
-  /** Returns members that a majority has stopped hearing, each once. */
+  /** Returns members that a majority newly considers silent, each once. */
   std::vector<MemberId> ExtractNewlySilent();
 
-  /** Returns what is to be committed now, if anything. */
+  /** Returns the membership change to commit now, if any. */
   std::optional<MembershipCommand> Plan(EntrySessions& aSessions,
                                         const MembershipState& aState,
                                         const ReplicaSet& aReplicas,
--- a/src/control/Pushes.cpp
+++ b/src/control/Pushes.cpp
@@ -27,7 +27,7 @@
     bytes += change->mDelta.mRemoved.size() + change->mDelta.mInserted.size();
     push.mDeltas.push_back(change->mDelta);
   }
-  // An entry with nothing has no text that a delta could be applied to.
+  // An entry without settings has no text to apply a delta to.
   const bool whole =
     !aHave.IsSet() || push.mDeltas.empty() || bytes > aSettings.mText.size();
   if (whole) {
--- a/src/control/Pushes.h
+++ b/src/control/Pushes.h
@@ -8,15 +8,15 @@
 namespace peridotspool::control {
 
 /**
- * Returns what an entry with revision aHave lacks: deltas where they are kept
- * and smaller than the whole tree, else the whole tree.
+ * Returns the changes that an entry at revision aHave lacks: deltas where they
+ * are retained and smaller than the whole tree, otherwise the whole tree.
  */
 membership::SettingsPush
 MakeSettingsPush(const SettingsState& aSettings,
                  std::uint64_t aDigest,
                  Revision aHave);
 
-/** Returns the epochs that an entry at aHave lacks. */
+/** Returns the epochs that an entry at epoch aHave lacks. */
 membership::EpochPush
 MakeEpochPush(const MembershipState& aState, EpochNumber aHave);
 
--- a/src/control/ReplicaSetPlanner.cpp
+++ b/src/control/ReplicaSetPlanner.cpp
@@ -6,9 +6,12 @@
 
 namespace {
 
-/** A joining replica asks again within this time, or has given up. */
+/**
+ * A joining replica that hasn't repeated its request within this time has given
+ * up.
+ */
 constexpr Duration kJoinRequestTimeout = std::chrono::seconds(3);
-/** A learner this close to the log's end has caught up. */
+/** A learner that lags by at most this many entries has caught up. */
 constexpr std::uint64_t kMaxCaughtUpLag = 16;
 
 const ReplicaInfo*
@@ -94,7 +97,7 @@
                                ReplicaId aReplica,
                                Duration aTime) const
 {
-  // A new leader hasn't had the time to hear the others; none of them is to
+  // A new leader hasn't yet had time to hear from the others; none of them may
   // be replaced for that.
   if (aReplica == aConsensus.Self() || mNow - mLeaderSince < aTime) {
     return false;
@@ -104,8 +107,8 @@
          mNow - *found->second.mAnsweredAt >= aTime;
 }
 
-// Only one process can listen at an address: one that asks for an identity
-// from there is proof that the earlier process is gone, without a wait.
+// Only one process can listen at an address: a request for an identity from
+// there proves without a wait that the earlier process has ended.
 bool
 ReplicaSetPlanner::ReplacesEndedProcess(const ReplicaInfo& aEarlier,
                                         const JoinRequest& aRequest) const
@@ -140,8 +143,8 @@
            aConsensus.LastIndex().Value();
 }
 
-// Two processes with one name are a mistake in the settings, unless the earlier
-// one is gone. Taking a live voter's place would cost a copy of the log.
+// Two processes with one name are a configuration error, unless the earlier one
+// has ended. Replacing a live voter would cost a copy of the log.
 std::string
 ReplicaSetPlanner::Refusal(const Consensus& aConsensus,
                            const JoinRequest& aRequest) const
@@ -213,7 +216,7 @@
         !Refusal(aConsensus, pending.mRequest).empty()) {
       continue;
     }
-    // A learner that lost its disk before it was voted in is simply replaced.
+    // A learner that lost its disk before it became a voter is simply replaced.
     const ReplicaInfo* earlier =
       FindEarlier(set, pending.mRequest.mName, nonce);
     if (earlier != nullptr && !earlier->mVoter) {
--- a/src/control/ReplicaSetPlanner.h
+++ b/src/control/ReplicaSetPlanner.h
@@ -12,7 +12,7 @@
 
 namespace peridotspool::control {
 
-/** A replica that asks for an identity, and where to answer it. */
+/** A replica's pending request for an identity, and the address to reply to. */
 struct PendingJoin
 {
   JoinRequest mRequest;
@@ -20,7 +20,7 @@
   TimePoint mAskedAt;
 };
 
-/** A join that can be answered now. */
+/** The decision on a join request, ready to be sent. */
 struct JoinDecision
 {
   JoinRequest mRequest;
@@ -32,18 +32,18 @@
 struct ReplicaSetPlannerOptions
 {
   std::size_t mVoters = 3;
-  /** Learners beyond the wanted voters, at most. */
+  /** The maximum number of learners beyond the wanted voters. */
   std::size_t mMaxLearners = 2;
-  /** A replica that answered within this time is alive. */
+  /** A replica that replied within this time counts as alive. */
   Duration mAlive = std::chrono::seconds(2);
   /** See ControlOptions::mReplaceSilentAfter. */
   std::optional<Duration> mReplaceSilentAfter;
 };
 
 /**
- * The leader's decisions about control replicas: one with an empty folder gets
- * a new identity as a learner; a learner that has caught up takes the place of
- * its own earlier identity, or becomes a further voter.
+ * The leader's decisions about control replicas: a replica with an empty folder
+ * gets a new identity as a learner; a learner that has caught up replaces its
+ * own earlier identity or becomes an additional voter.
  */
 class ReplicaSetPlanner
 {
@@ -54,10 +54,10 @@
                          const Address& aReplyTo,
                          TimePoint aNow);
 
-  /** Returns joins that are settled, and forgets them. */
+  /** Returns the decided join requests and drops them. */
   std::vector<JoinDecision> ExtractDecisions(const Consensus& aConsensus,
                                              TimePoint aNow);
-  /** Returns the next replica set to be committed, if any. */
+  /** Returns the next replica set to commit, if any. */
   std::optional<ReplicaSet> Plan(const Consensus& aConsensus, TimePoint aNow);
 
 private:
--- a/src/control/StateMachine.cpp
+++ b/src/control/StateMachine.cpp
@@ -37,7 +37,8 @@
   return mState.mLastFencing;
 }
 
-// The first counts of a window stay: they may have been told already.
+// The first counts of a window are final because they may have been reported
+// already.
 ApplyResult
 StateMachine::ApplyCommand(const UsageCommand& aCommand)
 {
--- a/src/control/StateMachineMembership.cpp
+++ b/src/control/StateMachineMembership.cpp
@@ -55,7 +55,7 @@
   }
 }
 
-/** A process that joins replaces an earlier life of the same entry. */
+/** A process that joins replaces an earlier incarnation of the same entry. */
 void
 RemoveEarlierLife(const MembershipState& aState,
                   const EntryName& aName,
@@ -75,8 +75,8 @@
 {
   for (const MemberJoin& join : aCommand.mJoins) {
     const auto& removed = aState.mRemovedNonces;
-    // Without the list of removed processes, a join that a slow network
-    // brings late would make a member of a process that is gone.
+    // Without the list of removed processes, a join delayed by a slow network
+    // would make an ended process a member.
     const bool gone =
       std::find(removed.begin(), removed.end(), join.mNonce) != removed.end();
     if (gone || aState.mNonces.contains(join.mNonce)) {
--- a/src/control/StateMachineSettings.cpp
+++ b/src/control/StateMachineSettings.cpp
@@ -9,9 +9,10 @@
 ApplyResult
 StateMachine::ApplyCommand(const EditCommand& aCommand)
 {
-  // A resent edit must not be judged anew: its base is old by now, so it would
-  // be told that it lost, to itself. The kept answer survives a leader change
-  // and a snapshot, because it is part of the replicated state.
+  // A resent edit must not be evaluated again: its base is outdated by then, so
+  // it would be reported to have lost against itself. The retained response
+  // survives a leader change and a snapshot because it is part of the
+  // replicated state.
   if (const auto known = KnownEdit(aCommand.mEdit, aCommand.mDigest)) {
     return *known;
   }
@@ -57,10 +58,10 @@
   TrimHistory();
 }
 
-// Two operators may send documents at the same time, and an older one may come
-// again after its answer was lost. The highest version wins whatever the order
-// in the log; what it overtakes is answered as accepted, because a refusal
-// would contradict an acknowledgement that was given before.
+// Two operators may send documents at the same time, and an older one may be
+// resent after its response was lost. The highest version wins regardless of
+// the order in the log. A document with a lower version is reported as
+// accepted, because a refusal would contradict an earlier acknowledgement.
 ApplyResult
 StateMachine::ApplyCommand(const DocumentCommand& aCommand)
 {
@@ -126,7 +127,8 @@
   settings.mEdits[aCommand.mEdit] = { .mDigest = aCommand.mDigest,
                                       .mAnswer = aAnswer };
   settings.mEditOrder.push_back(aCommand.mEdit);
-  // Dropped by quarters: erasing at the front of a vector moves the rest.
+  // A quarter is dropped at a time because erasing at the front of a vector
+  // moves the rest.
   if (settings.mEditOrder.size() <= mOptions.mMaxEditIds) {
     return;
   }
@@ -156,7 +158,8 @@
   std::for_each(history.begin(), keepFrom, [&](const auto& aChange) {
     bytes -= aChange.mDelta.mRemoved.size() + aChange.mDelta.mInserted.size();
   });
-  // The last change is always kept: it tells a loser who won.
+  // The latest change is always retained: it identifies the winner of a
+  // conflict.
   while (bytes > mOptions.mMaxHistoryBytes && keepFrom + 1 != history.end()) {
     bytes -= keepFrom->mDelta.mRemoved.size();
     bytes -= keepFrom->mDelta.mInserted.size();
--- a/src/control/SuspectTracker.cpp
+++ b/src/control/SuspectTracker.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Only what was reported within this time counts. */
+/** The maximum age of a report. */
 constexpr Duration kMaxReportAge = std::chrono::milliseconds(650);
 constexpr std::size_t kMinReporters = 2;
 constexpr std::size_t kMinDomains = 2;
@@ -17,10 +17,11 @@
 }
 
 // An entry that its peers can't reach stalls the shards that it holds, while
-// its heartbeats to the control replicas look healthy. Its peers notice. In a
-// cut between two halves everybody reports everybody on the other side; taking
-// out only the one with most reporters leaves the other half with fewer, so
-// that one half goes member by member and the other one stays whole.
+// its heartbeats to the control replicas look healthy. Only its peers detect
+// it. When a partition splits the entries into two halves, each entry reports
+// all entries on the other side. Removing only the one with the most reporters
+// leaves its half with fewer, so that one half is removed member by member and
+// the other stays complete.
 void
 SuspectTracker::Update(const EntrySessions& aSessions,
                        const membership::EpochMap& aMembers,
--- a/src/control/SuspectTracker.h
+++ b/src/control/SuspectTracker.h
@@ -10,21 +10,22 @@
 namespace peridotspool::control {
 
 /**
- * Finds members that reach the control replicas, but not their peers. What a
- * single entry, or a single failure domain, says of another is never enough.
+ * Finds members that reach the control replicas but not their peers. Reports by
+ * a single entry or a single failure domain never suffice.
  */
 class SuspectTracker
 {
 public:
   explicit SuspectTracker(Duration aTimeout);
 
-  /** Takes what the members report now. */
+  /** Updates the suspects from the members' current reports. */
   void Update(const EntrySessions& aSessions,
               const membership::EpochMap& aMembers,
               TimePoint aNow);
   /**
-   * Returns the one member that most others have missed for the timeout. One
-   * at a time: once it is gone, the reports of the rest may look different.
+   * Returns the member that the most others have reported unreachable for the
+   * timeout. Only one at a time: once it is removed, the reports of the rest
+   * may change.
    */
   std::optional<MemberId> Worst() const { return mWorst; }
 
