--- a/test/control/ControlCluster.cpp
+++ b/test/control/ControlCluster.cpp
@@ -103,7 +103,7 @@
 void
 ControlCluster::StartControl(ClusterProcess& aProcess)
 {
-  ++aProcess.mLife;
+  ++aProcess.mIncarnation;
   aProcess.mRunning = true;
   aProcess.mFrozen = false;
   aProcess.mBacklog.clear();
@@ -117,7 +117,7 @@
 void
 ControlCluster::StartEntry(ClusterProcess& aProcess)
 {
-  ++aProcess.mLife;
+  ++aProcess.mIncarnation;
   aProcess.mRunning = true;
   aProcess.mFrozen = false;
   aProcess.mBacklog.clear();
@@ -158,7 +158,7 @@
   mQueue.push(Scheduled{ mNow + aAfter,
                          ++mOrder,
                          aProcess,
-                         mProcesses[aProcess].mLife,
+                         mProcesses[aProcess].mIncarnation,
                          std::move(aAction) });
 }
 
@@ -193,7 +193,7 @@
   mQueue.pop();
   mNow = std::max(mNow, next.mAt);
   ClusterProcess& process = mProcesses[next.mProcess];
-  if (!process.mRunning || process.mLife != next.mLife) {
+  if (!process.mRunning || process.mIncarnation != next.mIncarnation) {
     return;
   }
   if (process.mFrozen) {
@@ -266,9 +266,9 @@
   };
   const auto toEntry = [&](const ToEntryEffect& aSend) {
     const std::string to = mNonces[aSend.mTo];
-    const int life = mProcesses[to].mLife;
-    Deliver(from, to, [this, to, life, message = aSend.mMessage] {
-      if (mProcesses[to].mLife == life) {
+    const int incarnation = mProcesses[to].mIncarnation;
+    Deliver(from, to, [this, to, incarnation, message = aSend.mMessage] {
+      if (mProcesses[to].mIncarnation == incarnation) {
         StepSession(mProcesses[to], membership::FromControlEvent{ message });
       }
     });
@@ -371,8 +371,9 @@
   }
 }
 
-// An entry takes no work by settings that were replaced longer ago than the
-// grace, and no member's lease holds once a list without it is committed.
+// An entry accepts no work under settings that were replaced longer ago than
+// the grace period, and no member's lease is valid once a list without it is
+// committed.
 void
 ControlCluster::CheckEntry(const ClusterProcess& aProcess)
 {
--- a/test/control/ControlCluster.h
+++ b/test/control/ControlCluster.h
@@ -15,7 +15,10 @@
 
 namespace peridotspool::control {
 
-/** What the network and the disks do to messages and writes. */
+/**
+ * The faults and delays that the network and the disks add to messages and
+ * writes.
+ */
 struct ClusterFaults
 {
   double mLoss = 0.0;
@@ -32,12 +35,14 @@
   Address mAddress;
   bool mRunning = false;
   bool mFrozen = false;
-  /** Counts the lives, so that events of an earlier life are dropped. */
-  int mLife = 0;
+  /**
+   * The number of starts, so that events of an earlier incarnation are dropped.
+   */
+  int mIncarnation = 0;
   /** The process's clock is mOffset + real time * mRate. */
   Duration mOffset{ 0 };
   double mRate = 1.0;
-  /** What came while the process was frozen. */
+  /** Events that arrived while the process was frozen. */
   std::vector<std::function<void()>> mBacklog;
 
   // A control replica.
@@ -55,19 +60,23 @@
 };
 
 /**
- * Control replicas and entries in one thread with a network and disks in
- * memory. Only synced writes survive a crash. The same seed gives the same run.
+ * Control replicas and entries in one thread, with a simulated network and
+ * simulated disks in memory. Only synced writes survive a crash. The same seed
+ * produces the same run.
  */
 class ControlCluster
 {
 public:
   explicit ControlCluster(std::uint64_t aSeed = 1);
 
-  // Building. The first replica is initialised, the others join by the log.
+  // Setup. The first replica is initialised, the others join through the log.
   void StartControls(int aCount);
-  /** The first aFounders replicas found the system, the others join. */
+  /**
+   * Starts aCount replicas: the first aFounders found the system, the others
+   * join.
+   */
   void StartSeeded(int aCount, int aFounders);
-  /** A further replica with an empty disk that knows the founders. */
+  /** Adds a replica with an empty disk that knows the founders' addresses. */
   void AddSeeded(const std::string& aName);
   void AddEntry(const std::string& aName, const std::string& aDomain);
   std::function<void(ControlOptions&)> mTune;
@@ -91,7 +100,7 @@
   void LoseDisk(const std::string& aName);
   void Freeze(const std::string& aName);
   void Thaw(const std::string& aName);
-  /** Cuts these processes off from all others, in both directions. */
+  /** Partitions these processes from all others, in both directions. */
   void CutOff(const std::set<std::string>& aNames);
   void CutLink(const std::string& aOne, const std::string& aOther);
   void Heal();
@@ -99,23 +108,29 @@
 
   // Operators.
   CallId Ask(const std::string& aName, OperatorRequest aRequest);
-  std::optional<OperatorResponse> AnswerTo(CallId aCall) const;
-  /** Asks the leader until it answers for good, resending as it is. */
-  OperatorResponse AskLeader(const OperatorRequest& aRequest);
+  std::optional<OperatorResponse> ResponseTo(CallId aCall) const;
+  /**
+   * Sends a request to the leader until it gets a final response, resending it
+   * unchanged.
+   */
+  OperatorResponse RequestFromLeader(const OperatorRequest& aRequest);
   EditResponse Edit(const std::string& aEdit,
                     std::uint64_t aBase,
                     const std::string& aText);
 
-  // Looking.
+  // Inspection.
   ClusterProcess& Process(const std::string& aName);
-  /** The replica that leads with a valid lease now; empty name if none. */
+  /**
+   * Returns the replica that leads with a valid lease now; an empty name if
+   * none.
+   */
   std::string Leader() const;
   std::size_t Voters() const;
   bool AllEntriesAt(Revision aRevision) const;
   std::map<std::string, ClusterProcess>& Processes() { return mProcesses; }
-  /** All that replicas have told for their logs. */
+  /** All events that the replicas have emitted for their logs. */
   const std::vector<NoticeEffect>& Notices() const { return mNotices; }
-  /** Problems found by checks that hold at all times. */
+  /** Violations found by the checks that run after every step. */
   const std::vector<std::string>& Problems() const { return mProblems; }
 
 private:
@@ -124,7 +139,7 @@
     TimePoint mAt;
     std::uint64_t mOrder;
     std::string mProcess;
-    int mLife;
+    int mIncarnation;
     std::function<void()> mAction;
     bool operator<(const Scheduled& aOther) const
     {
--- a/test/control/ControlClusterFaults.cpp
+++ b/test/control/ControlClusterFaults.cpp
@@ -30,7 +30,7 @@
 ControlCluster::Crash(const std::string& aName)
 {
   ClusterProcess& process = Process(aName);
-  // Some of the writes under way may have reached the disk, in their order.
+  // Some of the pending writes may have reached the disk, in their order.
   const std::size_t reached = mRandom() % (process.mUnsynced.size() + 1);
   for (std::size_t write = 0; write < reached; ++write) {
     ApplyPersist(process.mDisk, process.mUnsynced[write]);
@@ -38,7 +38,7 @@
   process.mUnsynced.clear();
   process.mRunning = false;
   process.mFrozen = false;
-  ++process.mLife;
+  ++process.mIncarnation;
 }
 
 void
@@ -120,14 +120,14 @@
 }
 
 std::optional<OperatorResponse>
-ControlCluster::AnswerTo(CallId aCall) const
+ControlCluster::ResponseTo(CallId aCall) const
 {
   const auto found = mAnswers.find(aCall);
   return found == mAnswers.end() ? std::nullopt : std::optional(found->second);
 }
 
 OperatorResponse
-ControlCluster::AskLeader(const OperatorRequest& aRequest)
+ControlCluster::RequestFromLeader(const OperatorRequest& aRequest)
 {
   constexpr int kTries = 50;
   for (int attempt = 0; attempt < kTries; ++attempt) {
@@ -137,9 +137,9 @@
       break;
     }
     const CallId call = Ask(leader, aRequest);
-    RunUntil([&] { return AnswerTo(call).has_value(); },
+    RunUntil([&] { return ResponseTo(call).has_value(); },
              std::chrono::seconds(10));
-    const auto answer = AnswerTo(call);
+    const auto answer = ResponseTo(call);
     if (answer && !std::holds_alternative<NotLeaderResponse>(*answer) &&
         !std::holds_alternative<UncertainResponse>(*answer)) {
       return *answer;
@@ -155,10 +155,10 @@
                      const std::string& aText)
 {
   const OperatorResponse answer =
-    AskLeader(EditRequest{ .mEdit = EditId(aEdit),
-                           .mBase = Revision(aBase),
-                           .mText = aText,
-                           .mAuthor = "operator" });
+    RequestFromLeader(EditRequest{ .mEdit = EditId(aEdit),
+                                   .mBase = Revision(aBase),
+                                   .mText = aText,
+                                   .mAuthor = "operator" });
   const auto* edit = std::get_if<EditResponse>(&answer);
   return edit == nullptr ? EditResponse{} : *edit;
 }
--- a/test/control/ControlNodeTest.cpp
+++ b/test/control/ControlNodeTest.cpp
@@ -18,7 +18,7 @@
   CHECK(cluster.Problems().empty());
 }
 
-TEST_CASE("EntriesJoinInOneEpochAndTakeSettings")
+TEST_CASE("EntriesJoinInOneEpochAndReceiveSettings")
 {
   ControlCluster cluster;
   cluster.StartControls(3);
@@ -51,7 +51,7 @@
   cluster.RunUntil([&] { return cluster.AllEntriesAt(Revision(1)); });
   cluster.Run(std::chrono::seconds(1));
   const OperatorResponse answer =
-    cluster.AskLeader(DrainRequest{ .mEntry = EntryName("entry-1") });
+    cluster.RequestFromLeader(DrainRequest{ .mEntry = EntryName("entry-1") });
   REQUIRE(std::holds_alternative<DrainResponse>(answer));
   ClusterProcess& entry = cluster.Process("entry-1");
   REQUIRE(cluster.RunUntil([&] { return entry.mDrainWanted; }));
--- a/test/control/ControlTimesTest.cpp
+++ b/test/control/ControlTimesTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Times of the simulated network, which are the same in every run. */
+/** Times in the simulated network, which are identical in every run. */
 std::vector<Duration>
 Failovers(int aCount)
 {
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("NextCommitComesWithinTwoSecondsOfTheLeadersDeath")
+TEST_CASE("NextCommitSucceedsWithinTwoSecondsOfALeaderCrash")
 {
   const std::vector<Duration> times = Failovers(100);
   INFO("median " << times[50].count() << " us, worst " << times[99].count());
@@ -51,7 +51,7 @@
   const TimePoint before = cluster.RealNow();
   cluster.Edit("edit-2", 1, "a: 2\n");
   const auto answer =
-    std::get<InForceResponse>(cluster.AskLeader(InForceRequest{
+    std::get<InForceResponse>(cluster.RequestFromLeader(InForceRequest{
       .mRevision = Revision(2), .mWait = std::chrono::seconds(7) }));
   const Duration took = cluster.RealNow() - before;
   INFO("took " << took.count() << " us");
--- a/test/control/DifferentialTest.cpp
+++ b/test/control/DifferentialTest.cpp
@@ -13,16 +13,16 @@
 
 constexpr const char* kAll[] = { "control-1", "control-2", "control-3" };
 
-/** One edit that an operator sent, perhaps several times. */
+/** An edit that an operator sent once or several times. */
 struct SentEdit
 {
   EditRequest mRequest;
   std::vector<CallId> mCalls;
-  /** Revisions that were known as committed when it was first sent. */
+  /** The latest revision known to be committed when the edit was first sent. */
   Revision mKnownBefore;
 };
 
-/** A random run of the system, and what its operators saw. */
+/** A random run of the system and the responses that its operators received. */
 class RandomRun
 {
 public:
@@ -31,7 +31,7 @@
   void Disturb();
   void SendEdit();
   void Settle();
-  /** Compares what was answered with one list of edits. */
+  /** Compares the responses with a single list of edits. */
   std::vector<std::string> Differences();
 
   ControlCluster mCluster;
@@ -111,8 +111,8 @@
   }
 }
 
-// A disk is lost only while a majority of the others surely has the log: with
-// three replicas, one disk can be lost at a time.
+// A disk is lost only while a majority of the other replicas certainly has the
+// log. With three replicas, one disk can be lost at a time.
 void
 RandomRun::LoseOneDisk()
 {
@@ -185,7 +185,7 @@
 {
   std::vector<EditResponse> answers;
   for (const CallId call : aEdit.mCalls) {
-    const auto answer = mCluster.AnswerTo(call);
+    const auto answer = mCluster.ResponseTo(call);
     if (answer && std::holds_alternative<EditResponse>(*answer)) {
       answers.push_back(std::get<EditResponse>(*answer));
     }
@@ -245,7 +245,7 @@
 RandomRun::Differences()
 {
   const OperatorResponse answer =
-    mCluster.AskLeader(HistoryRequest{ .mLimit = 100000 });
+    mCluster.RequestFromLeader(HistoryRequest{ .mLimit = 100000 });
   std::vector<SettingsChange> list = std::get<HistoryResponse>(answer).mChanges;
   std::reverse(list.begin(), list.end());
   std::vector<std::string> differences = mCluster.Problems();
@@ -271,10 +271,11 @@
 
 } // namespace
 
-// The replicated log and the settings service against one list of edits, under
-// loss, doubling, reordering, crashes that keep only what was synced (and some
-// of what was not), cuts, freezes, lost disks, and clocks that run apart.
-TEST_CASE("ReplicatedSettingsAreLikeOneListUnderFaults")
+// Compares the replicated log and the settings service with a single list of
+// edits under message loss, duplication and reordering, crashes that preserve
+// only synced data (and some unsynced data), partitions, frozen processes, lost
+// disks, and clocks with different rates.
+TEST_CASE("ReplicatedSettingsMatchASingleListUnderFaults")
 {
   rc::prop("operators can't tell the system from one list", [] {
     RandomRun run(*rc::gen::arbitrary<std::uint64_t>());
--- a/test/control/LeadershipTest.cpp
+++ b/test/control/LeadershipTest.cpp
@@ -25,17 +25,17 @@
 std::uint64_t
 NextFencing(ControlCluster& aCluster)
 {
-  return std::get<FencingResponse>(aCluster.AskLeader(FencingRequest{}))
+  return std::get<FencingResponse>(aCluster.RequestFromLeader(FencingRequest{}))
     .mNumber.Value();
 }
 
 } // namespace
 
-// Symptom: two control instances give answers and orders at the same time.
-// Sequence: the leader and one entry are cut off together for a minute; the
-// others elect a leader and commit an edit; the old leader knows of nothing.
-// Cause: a leader that stays in charge until somebody tells it otherwise.
-TEST_CASE("CutOffLeaderIsOutOfChargeBeforeAnotherLeads")
+// Guards against two control replicas that respond and issue orders at the same
+// time. The leader and one entry are partitioned together for a minute; the
+// others elect a leader and commit an edit while the old leader is unaware. The
+// fault occurs if a leader stays in charge until another process notifies it.
+TEST_CASE("PartitionedLeaderLosesItsLeaseBeforeAnotherLeads")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -50,9 +50,9 @@
   REQUIRE(cluster.Edit("edit-2", 1, "a: 2\n").mVerdict ==
           EditVerdict::kCommitted);
   cluster.Run(std::chrono::seconds(60));
-  // The edit to the old leader was not called committed.
-  REQUIRE(cluster.AnswerTo(lost).has_value());
-  CHECK_FALSE(std::holds_alternative<EditResponse>(*cluster.AnswerTo(lost)));
+  // The edit sent to the old leader was not reported as committed.
+  REQUIRE(cluster.ResponseTo(lost).has_value());
+  CHECK_FALSE(std::holds_alternative<EditResponse>(*cluster.ResponseTo(lost)));
   const ClusterProcess& entry = cluster.Process("entry-1");
   CHECK(entry.mSession->MayServe(cluster.LocalNow(entry)) ==
         ServeVerdict::kConfirmationTooOld);
@@ -65,11 +65,12 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: a control instance that was frozen gives an answer from the past.
-// Sequence: the leader freezes with requests and messages queued up, another
-// takes over and commits; the old one wakes and works off its queue.
-// Cause: a role that is checked when it is taken and not when it is used.
-TEST_CASE("FrozenLeaderAnswersNothingFromThePastWhenItWakes")
+// Guards against a frozen control replica that responds with outdated state.
+// The leader freezes with queued requests and messages, another replica takes
+// over and commits, and the old leader resumes and processes its queue. The
+// fault occurs if leadership is checked when it is gained and not when it is
+// used.
+TEST_CASE("FrozenLeaderReturnsNoOutdatedStateWhenItResumes")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -82,22 +83,21 @@
   cluster.Run(std::chrono::seconds(5));
   cluster.Thaw(old);
   cluster.Run(std::chrono::seconds(1));
-  REQUIRE(cluster.AnswerTo(read).has_value());
-  CHECK(std::holds_alternative<NotLeaderResponse>(*cluster.AnswerTo(read)));
+  REQUIRE(cluster.ResponseTo(read).has_value());
+  CHECK(std::holds_alternative<NotLeaderResponse>(*cluster.ResponseTo(read)));
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: an entry that was frozen lets an effect out after its place was
-// given to others.
-// Sequence: the entry freezes right after a confirmed heartbeat, is removed,
-// wakes, and first works off what it had begun.
-// Cause: a lease counted from when its answer was read.
-TEST_CASE("FrozenEntryFindsItsLeaseOverWhenItWakes")
+// Guards against a frozen entry that produces an effect after its shards were
+// reassigned. The entry freezes right after a confirmed heartbeat, is removed,
+// resumes, and first processes its pending work. The fault occurs if the lease
+// is counted from when the heartbeat response was read.
+TEST_CASE("FrozenEntryHasNoLeaseWhenItResumes")
 {
   ControlCluster cluster;
   StartSystem(cluster);
   ClusterProcess& entry = cluster.Process("entry-1");
-  // Slow links, so that answers are on their way at any time.
+  // Uses slow links, so that responses are in flight at any time.
   cluster.mFaults.mMinDelay = std::chrono::milliseconds(140);
   cluster.mFaults.mMaxDelay = std::chrono::milliseconds(145);
   cluster.Run(std::chrono::seconds(2));
@@ -107,7 +107,7 @@
   CHECK_FALSE(entry.mSession->LeaseHolds(cluster.LocalNow(entry)));
   CHECK(entry.mSession->MayServe(cluster.LocalNow(entry)) ==
         ServeVerdict::kConfirmationTooOld);
-  // Answers to its last heartbeats have waited for it all the time.
+  // The responses to its last heartbeats were queued while it was frozen.
   entry.mFrozen = false;
   const auto waiting = std::exchange(entry.mBacklog, {});
   REQUIRE_FALSE(waiting.empty());
@@ -119,10 +119,11 @@
   }
 }
 
-// Symptom: the leader changes every second, and two hold the lease at once.
-// Sequence: one follower can't reach the leader; the other one hears both.
-// Cause: a vote given while a leader counts on the voter's silence.
-TEST_CASE("FollowerThatMissesTheLeaderPushesNobodyOut")
+// Guards against a leader change every second and two concurrent lease holders.
+// One follower can't reach the leader; the other one receives messages from
+// both. The fault occurs if a vote is granted while a leader's lease relies on
+// the voter.
+TEST_CASE("FollowerCutOffFromTheLeaderDoesNotDeposeIt")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -135,10 +136,10 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: as above.
-// Sequence: as above, and the one that hears both restarts now and then.
-// Cause: a restarted replica forgets whom it had promised its silence.
-TEST_CASE("RestartedFollowerStillKeepsItsSilence")
+// Guards against the same fault when the follower that receives messages from
+// both restarts repeatedly. The fault occurs if a restarted replica no longer
+// knows that it must withhold its vote.
+TEST_CASE("RestartedFollowerStillWithholdsItsVote")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -157,11 +158,11 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: an engine takes an older order after a newer one.
-// Sequence: orders before and after a leader change, and after a restart of
-// all replicas.
-// Cause: numbers counted in a leader's memory.
-TEST_CASE("FencingNumbersRiseAcrossLeadersAndRestarts")
+// Guards against an engine that accepts an older order after a newer one.
+// Orders are issued before and after a leader change, and after a restart of
+// all replicas. The fault occurs if fencing numbers are counted in a leader's
+// memory.
+TEST_CASE("FencingNumbersIncreaseAcrossLeadersAndRestarts")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -178,9 +179,9 @@
   CHECK(third < fourth);
 }
 
-// The lease must be over in real time before the fastest follower helps
-// another leader, both clocks being off by the stated bound.
-TEST_CASE("LeaseLeavesRoomForClockRates")
+// The lease must expire in real time before the fastest follower votes for
+// another leader, with both clocks off by the rate bound.
+TEST_CASE("LeaseAllowsForClockRateDifferences")
 {
   ConsensusOptions options;
   const double lease = static_cast<double>(options.LeaseDuration().count()) /
@@ -190,10 +191,10 @@
   CHECK(lease <= silence);
 }
 
-// Symptom: one bad link takes a healthy entry out of the system.
-// Sequence: an entry's messages to the leader are lost, others arrive.
-// Cause: the leader's own hearing taken for the truth.
-TEST_CASE("EntryThatAMajorityHearsIsNotRemoved")
+// Guards against one faulty link that removes a healthy entry. The entry's
+// messages to the leader are lost, all others arrive. The fault occurs if the
+// leader relies only on the messages that it received itself.
+TEST_CASE("EntryHeardByAMajorityIsNotRemoved")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -205,10 +206,10 @@
   CHECK(cluster.Process("entry-2").mSession->Epoch().mMembers.size() == 3);
 }
 
-// Symptom: shards move with every flap of one entry.
-// Sequence: an entry is killed and started again every 2 s for a minute.
-// Cause: each coming and going makes an epoch at once.
-TEST_CASE("FlappingEntryMakesFewEpochs")
+// Guards against shards that move with every flap of one entry. An entry is
+// killed and restarted every 2 s for a minute. The fault occurs if each join
+// and removal creates an epoch at once.
+TEST_CASE("FlappingEntryCreatesFewEpochs")
 {
   ControlCluster cluster;
   StartSystem(cluster);
--- a/test/control/QuarantineSurvivesTest.cpp
+++ b/test/control/QuarantineSurvivesTest.cpp
@@ -23,7 +23,8 @@
 std::vector<routing::QuarantineRow>
 Listed(ControlCluster& aCluster)
 {
-  const OperatorResponse answer = aCluster.AskLeader(QuarantineRequest{});
+  const OperatorResponse answer =
+    aCluster.RequestFromLeader(QuarantineRequest{});
   const auto* listed = std::get_if<QuarantineResponse>(&answer);
   return listed == nullptr ? std::vector<routing::QuarantineRow>{}
                            : listed->mRows;
@@ -31,15 +32,15 @@
 
 } // namespace
 
-// Symptom: a request that ends upstreams runs again after a restart.
-// Sequence: the leader that had found it out is gone, or all replicas at once.
-// Cause: a verdict kept in one process's memory.
-TEST_CASE("AVerdictOutlivesTheLeaderAndAllProcesses")
+// Guards against a request that crashes upstreams and runs again after a
+// restart. The leader that quarantined it ends, or all replicas end at once.
+// The fault occurs if a verdict is stored in one process's memory.
+TEST_CASE("QuarantineVerdictSurvivesLeaderChangeAndFullRestart")
 {
   ControlCluster cluster(1);
   cluster.StartControls(3);
   REQUIRE(std::holds_alternative<QuarantineResponse>(
-    cluster.AskLeader(Treat(QuarantineStage::kRefused))));
+    cluster.RequestFromLeader(Treat(QuarantineStage::kRefused))));
   SECTION("a new leader")
   {
     REQUIRE(cluster.ReplaceLeader());
@@ -55,13 +56,13 @@
   CHECK(listed[0].mChange.mCrashes.size() == 1);
 }
 
-TEST_CASE("AnOperatorSeesAndLiftsAVerdict")
+TEST_CASE("OperatorListsAndLiftsAQuarantineVerdict")
 {
   ControlCluster cluster(2);
   cluster.StartControls(3);
-  cluster.AskLeader(Treat(QuarantineStage::kRefused));
+  cluster.RequestFromLeader(Treat(QuarantineStage::kRefused));
   REQUIRE(Listed(cluster).size() == 1);
-  cluster.AskLeader(Treat(QuarantineStage::kCleared));
+  cluster.RequestFromLeader(Treat(QuarantineStage::kCleared));
   CHECK(Listed(cluster).empty());
 }
 
--- a/test/control/QuotaFloorsTest.cpp
+++ b/test/control/QuotaFloorsTest.cpp
@@ -18,13 +18,14 @@
 
 } // namespace
 
-// Guards against a new leader that grants what an earlier one has granted.
-TEST_CASE("FloorsOutliveTheLeaderAndAllProcesses")
+// Guards against a new leader that grants again what an earlier leader has
+// granted.
+TEST_CASE("QuotaFloorsSurviveLeaderChangeAndFullRestart")
 {
   ControlCluster cluster(1);
   cluster.StartControls(3);
-  cluster.AskLeader(Floors(1, 300));
-  cluster.AskLeader(Floors(2, 200));
+  cluster.RequestFromLeader(Floors(1, 300));
+  cluster.RequestFromLeader(Floors(2, 200));
   SECTION("a new leader")
   {
     REQUIRE(cluster.ReplaceLeader());
@@ -38,7 +39,7 @@
   CHECK(node->State().mQuotaFloors == Floors(2, 200).mFloors);
 }
 
-TEST_CASE("AnOlderProposalOfFloorsChangesNothing")
+TEST_CASE("OlderQuotaFloorsProposalChangesNothing")
 {
   StateMachine machine({}, {});
   machine.Apply(QuotaFloorsCommand{ Floors(3, 100).mFloors });
--- a/test/control/RestartElectionTest.cpp
+++ b/test/control/RestartElectionTest.cpp
@@ -20,7 +20,7 @@
   aCluster.Run(std::chrono::seconds(1));
 }
 
-/** From now on messages are late, lost or doubled. */
+/** Makes the network delay, lose and duplicate messages from now on. */
 void
 MakeLossy(ControlCluster& aCluster)
 {
@@ -41,7 +41,7 @@
   return names;
 }
 
-/** Kills all replicas at once; returns their names. */
+/** Kills all replicas at once and returns their names. */
 std::vector<std::string>
 CrashAll(ControlCluster& aCluster)
 {
@@ -54,11 +54,11 @@
 
 } // namespace
 
-// Symptom: after a loss of power of everything, nobody is served for a second
-// although all processes are back.
-// Sequence: all replicas are killed at once and come back one by one.
-// Cause: each keeps its silence for a leader that is dead like itself.
-TEST_CASE("ReplicasThatWereAllRestartedElectALeaderAtOnce")
+// Guards against a second without service after a power failure of the whole
+// system although all processes run again. All replicas are killed at once and
+// restart one by one. The fault occurs if each withholds its vote for the lease
+// of a leader that has ended too.
+TEST_CASE("FullyRestartedReplicasElectALeaderAtOnce")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -73,11 +73,11 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: the same, for half a second longer than the power was away.
-// Sequence: all replicas are killed at once, and one comes back without its
-// disk.
-// Cause: the others waited for the word of one whose identity was lost.
-TEST_CASE("AVoterThatLostItsDiskKeepsTheOthersWaitingForNobody")
+// Guards against the same outage, lasting half a second longer than the power
+// failure. All replicas are killed at once, and one restarts without its disk.
+// The fault occurs if the others wait for a report from the replica whose
+// identity was lost.
+TEST_CASE("VoterThatLostItsDiskDoesNotDelayTheElection")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -93,11 +93,11 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: two replicas hold the lease at once.
-// Sequence: as below, but one replica loses its disk again and again, and asks
-// for an identity while the others restart.
-// Cause: a request for an identity, taken for the end of one given since.
-TEST_CASE("DisksLostAmongRestartsLeaveOneLeaseAtATime")
+// Guards against two replicas that hold the lease at once. As in the tests
+// below, replicas restart, but one replica also loses its disk repeatedly and
+// requests an identity while the others restart. The fault occurs if a request
+// for an identity is taken as the end of an identity assigned since.
+TEST_CASE("DiskLossDuringRestartsLeavesOneLeaseAtATime")
 {
   const std::uint64_t seed = GENERATE(range(1, 41));
   INFO("seed " << seed);
@@ -120,11 +120,11 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: two replicas hold the lease at once.
-// Sequence: the followers restart while the leader lives and is cut off, so
-// that it can't say so.
-// Cause: a majority's word that it has restarted, taken for everybody's.
-TEST_CASE("RestartedMajorityWaitsForALeaderThatMayLive")
+// Guards against two replicas that hold the lease at once. The followers
+// restart while the leader is alive but partitioned, so that it can't report
+// this. The fault occurs if the restart of a majority is taken as the restart
+// of all replicas.
+TEST_CASE("RestartedMajorityWaitsForALeaderThatMayBeAlive")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -147,10 +147,10 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: as above.
-// Sequence: replicas restart in quick succession, alone and together, with
-// messages that are late, lost or doubled.
-// Cause: a word about one life of a process, taken for another one's.
+// Guards against two replicas that hold the lease at once. Replicas restart in
+// quick succession, alone and together, with delayed, lost or duplicated
+// messages. The fault occurs if a message about one incarnation of a process is
+// attributed to another.
 TEST_CASE("RestartsInQuickSuccessionLeaveOneLeaseAtATime")
 {
   const std::uint64_t seed = GENERATE(range(1, 41));
--- a/test/control/RolloutSurvivesTest.cpp
+++ b/test/control/RolloutSurvivesTest.cpp
@@ -22,7 +22,7 @@
 Known(ControlCluster& aCluster)
 {
   const OperatorResponse answer =
-    aCluster.AskLeader(RolloutsRequest{ kService });
+    aCluster.RequestFromLeader(RolloutsRequest{ kService });
   const auto* known = std::get_if<RolloutsResponse>(&answer);
   return known == nullptr ? std::vector<rollout::Rollout>{} : known->mRollouts;
 }
@@ -37,13 +37,13 @@
 
 } // namespace
 
-// Guards against an acknowledged order that is lost with its leader, or with
-// all processes.
-TEST_CASE("AnOrderOutlivesTheLeaderAndAllProcesses")
+// Guards against an acknowledged order that is lost when its leader ends, or
+// when all processes end.
+TEST_CASE("RolloutOrderSurvivesLeaderChangeAndFullRestart")
 {
   ControlCluster cluster(1);
   cluster.StartControls(3);
-  CHECK(VerdictOf(cluster.AskLeader(Start("v2"))) ==
+  CHECK(VerdictOf(cluster.RequestFromLeader(Start("v2"))) ==
         rollout::OrderVerdict::kStarted);
   SECTION("a new leader")
   {
@@ -57,20 +57,20 @@
   REQUIRE(known.size() == 1);
   CHECK(known[0].mOrder == Start("v2").mOrder);
   CHECK(known[0].IsRunning());
-  CHECK(VerdictOf(cluster.AskLeader(Start("v2"))) ==
+  CHECK(VerdictOf(cluster.RequestFromLeader(Start("v2"))) ==
         rollout::OrderVerdict::kRepeated);
-  CHECK(VerdictOf(cluster.AskLeader(Start("v3"))) ==
+  CHECK(VerdictOf(cluster.RequestFromLeader(Start("v3"))) ==
         rollout::OrderVerdict::kBusy);
 }
 
-TEST_CASE("AnOperatorAbortsARollout")
+TEST_CASE("OperatorAbortsARollout")
 {
   ControlCluster cluster(2);
   cluster.StartControls(3);
   CHECK(std::holds_alternative<RefusedResponse>(
-    cluster.AskLeader(RolloutAbortRequest{ kService })));
-  cluster.AskLeader(Start("v2"));
-  cluster.AskLeader(RolloutAbortRequest{ kService, 2000000 });
+    cluster.RequestFromLeader(RolloutAbortRequest{ kService })));
+  cluster.RequestFromLeader(Start("v2"));
+  cluster.RequestFromLeader(RolloutAbortRequest{ kService, 2000000 });
   const auto known = Known(cluster);
   REQUIRE(known.size() == 1);
   CHECK(known[0].mState == rollout::RolloutState::kRolledBack);
--- a/test/control/SeededGroupTest.cpp
+++ b/test/control/SeededGroupTest.cpp
@@ -14,7 +14,7 @@
 std::uint64_t
 Send(ControlCluster& aCluster, std::uint64_t aVersion)
 {
-  const OperatorResponse answer = aCluster.AskLeader(DocumentRequest{
+  const OperatorResponse answer = aCluster.RequestFromLeader(DocumentRequest{
     .mVersion = aVersion, .mText = "document " + std::to_string(aVersion) });
   const auto* document = std::get_if<DocumentResponse>(&answer);
   return document == nullptr ? 0 : document->mNewest;
@@ -23,12 +23,12 @@
 std::string
 Newest(ControlCluster& aCluster)
 {
-  const OperatorResponse answer = aCluster.AskLeader(SettingsRequest{});
+  const OperatorResponse answer = aCluster.RequestFromLeader(SettingsRequest{});
   const auto* settings = std::get_if<SettingsResponse>(&answer);
   return settings == nullptr ? "no answer" : settings->mText;
 }
 
-/** The names of the replicas that vote, as the leader has it. */
+/** Returns the names of the voters, as known to the leader. */
 std::set<std::string>
 VoterNames(ControlCluster& aCluster)
 {
@@ -54,7 +54,7 @@
            : aCluster.Process(leader).mNode->Replicas().mReplicas.size();
 }
 
-/** Three replicas found the group, a fourth one joins it. */
+/** Starts three founding replicas and a fourth one that joins. */
 void
 StartFour(ControlCluster& aCluster)
 {
@@ -63,7 +63,7 @@
     aCluster.RunUntil([&] { return ReplicaCount(aCluster) == 4; }, kSettled));
 }
 
-/** A replica that votes and doesn't lead. */
+/** Returns a voter that doesn't lead. */
 std::string
 Follower(ControlCluster& aCluster)
 {
@@ -89,11 +89,11 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: an acknowledged document was gone after a lost disk.
-// Sequence: a voter lost its disk right after the acknowledgement, came back
-// empty at its address, and the others lost power before it had the log.
-// Cause: an empty replica that counts in a majority.
-TEST_CASE("AWipedReplicaTakesItsPlaceAgainAndLosesNothing")
+// Guards against an acknowledged document that is lost with a disk. A voter
+// loses its disk right after the acknowledgement and restarts empty at its
+// address, and the others lose power before it has the log. The fault occurs if
+// an empty replica counts in a majority.
+TEST_CASE("ReplicaWithLostDiskRejoinsWithoutDataLoss")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -103,7 +103,7 @@
   const std::string wiped = Follower(cluster);
   cluster.LoseDisk(wiped);
   cluster.Restart(wiped);
-  // Within the time that a lost replica is given to catch up.
+  // Within the time that a replaced replica has to catch up.
   CHECK(cluster.RunUntil(
     [&] {
       return VoterNames(cluster).size() == 3 && ReplicaCount(cluster) == 4 &&
@@ -122,10 +122,10 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: after the second replacement the group had no majority any more.
-// Sequence: replicas were taken away for good and others came at new addresses.
-// Cause: those that were gone went on counting.
-TEST_CASE("ReplicasThatAreGoneForGoodLoseTheirPlaces")
+// Guards against a group without a majority after the second replacement.
+// Replicas are removed permanently and others start at new addresses. The fault
+// occurs if replicas that are gone still count.
+TEST_CASE("PermanentlyLostReplicasAreReplaced")
 {
   const std::uint64_t seed = GENERATE(range(1, 11));
   INFO("seed " << seed);
@@ -150,11 +150,10 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: a replica that had been cut off asked for votes for ever.
-// Sequence: it lost its place to another one meanwhile, and came back with its
-// disk and its identity.
-// Cause: nobody told it that its identity was over.
-TEST_CASE("AReplicaThatLostItsPlaceJoinsAnew")
+// Guards against a partitioned replica that requests votes forever. It is
+// replaced meanwhile, and reconnects with its disk and its identity. The fault
+// occurs if it isn't notified that its identity has ended.
+TEST_CASE("ReplacedReplicaRejoinsWithANewIdentity")
 {
   const std::uint64_t seed = GENERATE(range(1, 11));
   INFO("seed " << seed);
@@ -177,10 +176,10 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: the loss of one instance without a disk, beside two with one, took
-// the majority.
-// Cause: it had been made a voter as any other learner.
-TEST_CASE("AReplicaWithoutADiskNeverBecomesAVoter")
+// Guards against losing the majority with one instance without a disk, besides
+// two with one. The fault occurs if the diskless replica becomes a voter like
+// any other learner.
+TEST_CASE("ReplicaWithoutADiskNeverBecomesAVoter")
 {
   ControlCluster cluster(5);
   cluster.mTune = [](ControlOptions& aOptions) {
@@ -197,7 +196,7 @@
   }));
 }
 
-TEST_CASE("AnOrdinaryRestartCostsNobodyItsPlace")
+TEST_CASE("OrdinaryRestartReplacesNoVoter")
 {
   ControlCluster cluster(3);
   StartFour(cluster);
@@ -210,11 +209,11 @@
   CHECK(VoterNames(cluster) == voters);
 }
 
-// Symptom: an operator read an older document than it had been acknowledged.
-// Sequence: two operators sent documents at once, one of them twice because its
-// answer was lost.
-// Cause: the last to come was taken, not the highest.
-TEST_CASE("TheHighestVersionWinsInWhateverOrderTheyCome")
+// Guards against an operator that reads an older document than the one
+// acknowledged. Two operators send documents at once, one of them twice because
+// its response was lost. The fault occurs if the last document received is used
+// instead of the highest version.
+TEST_CASE("HighestDocumentVersionWinsInAnyOrder")
 {
   ControlCluster cluster(7);
   StartFour(cluster);
@@ -225,18 +224,19 @@
   CHECK(Newest(cluster) == "document 30");
 }
 
-// Symptom: no request was served after all processes had been killed.
-// Sequence: one of the seeds that entries know had been replaced; the replica
-// that was elected was none of the others.
-// Cause: entries asked the seeds only, and took nothing from followers.
-TEST_CASE("AnEntryFindsALeaderThatItWasNeverToldOf")
+// Guards against an outage after all processes were killed. One of the seeds
+// that entries know had been replaced, and the elected replica is none of the
+// other seeds. The fault occurs if entries query only the seeds and ignore
+// responses from followers.
+TEST_CASE("EntryFindsALeaderThatIsNotAmongItsSeeds")
 {
   const std::uint64_t seed = GENERATE(range(1, 11));
   INFO("seed " << seed);
   ControlCluster cluster(seed);
   StartFour(cluster);
   REQUIRE(Send(cluster, 5) == 5);
-  // Only the replica that no entry was told of may lead from here on.
+  // From here on only the replica that entries weren't configured with can
+  // lead.
   cluster.LoseDisk("control-1");
   REQUIRE(
     cluster.RunUntil([&] { return VoterNames(cluster).contains("control-4"); },
@@ -258,11 +258,11 @@
                          std::chrono::seconds(5)));
 }
 
-// Symptom: entries sent work to an upstream that had said seconds before that
-// it leaves. Sequence: it said so to a replica that was cut off, or not yet in
-// the group. Cause: the replica took the word though no entry asks it for
-// upstreams.
-TEST_CASE("OnlyAReplicaInTouchWithTheGroupIsConnected")
+// Guards against entries that send work to an upstream seconds after it
+// announced that it is leaving. It made the announcement to a replica that was
+// partitioned or not yet in the group. The fault occurs if the replica accepts
+// the announcement although no entry queries it for upstreams.
+TEST_CASE("OnlyAReplicaInContactWithTheGroupIsConnected")
 {
   ControlCluster cluster;
   StartFour(cluster);
--- a/test/control/SettingsPromiseTest.cpp
+++ b/test/control/SettingsPromiseTest.cpp
@@ -42,10 +42,10 @@
 
 } // namespace
 
-// Symptom: two operators both believe that their edit holds.
-// Sequence: both read revision 1, both send an edit with base 1.
-// Cause: an edit without a check of its base overwrites the other's.
-TEST_CASE("OneOfTwoEditsWithEqualBaseWinsAndTheOtherIsToldWhich")
+// Guards against two operators whose conflicting edits are both reported as
+// committed. Both read revision 1, and both send an edit with base 1. The fault
+// occurs if an edit overwrites another without a check of its base.
+TEST_CASE("OneOfTwoEditsWithEqualBaseWinsAndTheOtherGetsItsId")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -59,8 +59,8 @@
   const CallId left = cluster.Ask(leader, edit("left", 2));
   const CallId right = cluster.Ask(leader, edit("right", 3));
   cluster.Run(std::chrono::seconds(1));
-  const auto first = std::get<EditResponse>(*cluster.AnswerTo(left));
-  const auto second = std::get<EditResponse>(*cluster.AnswerTo(right));
+  const auto first = std::get<EditResponse>(*cluster.ResponseTo(left));
+  const auto second = std::get<EditResponse>(*cluster.ResponseTo(right));
   CHECK(first.mVerdict == EditVerdict::kCommitted);
   CHECK(first.mRevision == Revision(2));
   CHECK(second.mVerdict == EditVerdict::kConflict);
@@ -68,11 +68,11 @@
   CHECK(second.mWinner == EditId("left"));
 }
 
-// Symptom: an operator who resends an edit is told that somebody else won.
-// Sequence: the edit commits, the reply is lost, the leader dies, the operator
-// sends the same edit to the next leader.
-// Cause: judged anew, the edit's base is old by then: it lost to itself.
-TEST_CASE("ResentEditGetsItsFirstAnswerAfterALeaderChange")
+// Guards against an operator who resends an edit and gets a conflict reported.
+// The edit commits, the reply is lost, the leader ends, and the operator sends
+// the same edit to the next leader. The fault occurs if the edit is evaluated
+// again: its base is outdated by then, so it conflicts with itself.
+TEST_CASE("ResentEditGetsItsFirstResponseAfterALeaderChange")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -86,11 +86,11 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: as above, but only on replicas that started from a snapshot.
-// Sequence: the edit commits, snapshots drop its log entry, all replicas
-// restart, the operator resends.
-// Cause: first answers kept beside the snapshot instead of in it.
-TEST_CASE("ResentEditGetsItsFirstAnswerAfterASnapshotAndRestart")
+// Guards against the same fault on replicas that started from a snapshot. The
+// edit commits, snapshots drop its log entry, all replicas restart, and the
+// operator resends. The fault occurs if first responses are stored beside the
+// snapshot instead of in it.
+TEST_CASE("ResentEditGetsItsFirstResponseAfterASnapshotAndRestart")
 {
   ControlCluster cluster;
   cluster.mTune = [](ControlOptions& aOptions) {
@@ -112,10 +112,10 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: an entry works by old settings after a restart.
-// Sequence: an entry and a control replica are down for 500 edits, come back,
-// and meet a leader that has dropped the old log entries.
-// Cause: a receiver that only takes the next delta never catches up.
+// Guards against an entry that applies old settings after a restart. An entry
+// and a control replica are down for 500 edits, restart, and connect to a
+// leader that has dropped the old log entries. The fault occurs if a receiver
+// that accepts only the next delta never catches up.
 TEST_CASE("ProcessesThatMissed500EditsCatchUpBeforeTheyServe")
 {
   const bool deltas = GENERATE(true, false);
@@ -155,12 +155,11 @@
   CHECK(cluster.Problems().empty());
 }
 
-// Symptom: an edit is called in force while an entry still works by the old
-// settings.
-// Sequence: an entry is cut off, an edit commits, the entry is removed from the
-// members; the entry itself doesn't know and takes callers for a while.
-// Cause: only the current members were asked.
-TEST_CASE("InForceNamesEntriesThatMayStillWorkByOldSettings")
+// Guards against an edit that is reported in force while an entry still applies
+// the old settings. An entry is partitioned, an edit commits, and the entry is
+// removed from the members; unaware of this, the entry accepts callers for a
+// while. The fault occurs if only the current members are checked.
+TEST_CASE("InForceListsEntriesThatMayStillApplyOldSettings")
 {
   ControlCluster cluster;
   StartSystem(cluster);
@@ -168,13 +167,13 @@
   REQUIRE(cluster.Edit("edit-2", 1, Tree(2)).mVerdict ==
           EditVerdict::kCommitted);
   const auto ask = [&](Duration aWait) {
-    return std::get<InForceResponse>(cluster.AskLeader(
+    return std::get<InForceResponse>(cluster.RequestFromLeader(
       InForceRequest{ .mRevision = Revision(2), .mWait = aWait }));
   };
   const InForceResponse early = ask(std::chrono::milliseconds(500));
   CHECK_FALSE(early.mInForce);
   CHECK(early.mMissing == std::vector{ EntryName("entry-1") });
-  // It is no member any more, but may serve by its last confirmation.
+  // The entry is no longer a member, but may serve under its last confirmation.
   cluster.RunUntil([&] {
     return cluster.Process("entry-2").mSession->Epoch().mMembers.size() == 1;
   });
@@ -185,7 +184,7 @@
   CHECK(MayServe(cluster, "entry-1") == ServeVerdict::kConfirmationTooOld);
 }
 
-TEST_CASE("InvalidEditChangesNothingAndNamesThePlace")
+TEST_CASE("InvalidEditChangesNothingAndReportsTheLocation")
 {
   ControlCluster cluster;
   cluster.mTune = [](ControlOptions& aOptions) {
@@ -200,7 +199,7 @@
   CHECK(answer.mVerdict == EditVerdict::kInvalid);
   CHECK(answer.mReason == "tree:1:1: unknown key bad");
   const auto settings =
-    std::get<SettingsResponse>(cluster.AskLeader(SettingsRequest{}));
+    std::get<SettingsResponse>(cluster.RequestFromLeader(SettingsRequest{}));
   CHECK(settings.mRevision == Revision(1));
   CHECK(settings.mText == Tree(1));
 }
@@ -211,12 +210,12 @@
   StartSystem(cluster);
   cluster.Edit("edit-2", 1, Tree(2));
   cluster.Edit("edit-3", 2, "short: 1\n");
-  const auto diff = std::get<DiffResponse>(
-    cluster.AskLeader(DiffRequest{ .mFrom = Revision(1), .mTo = Revision(2) }));
+  const auto diff = std::get<DiffResponse>(cluster.RequestFromLeader(
+    DiffRequest{ .mFrom = Revision(1), .mTo = Revision(2) }));
   CHECK(diff.mFromText == Tree(1));
   CHECK(diff.mToText == Tree(2));
-  const auto history =
-    std::get<HistoryResponse>(cluster.AskLeader(HistoryRequest{ .mLimit = 2 }));
+  const auto history = std::get<HistoryResponse>(
+    cluster.RequestFromLeader(HistoryRequest{ .mLimit = 2 }));
   REQUIRE(history.mChanges.size() == 2);
   CHECK(history.mChanges[0].mEdit == EditId("edit-3"));
   CHECK(history.mChanges[1].mDelta.mRemoved == "changed: 1\n");
--- a/test/control/StateMachineTest.cpp
+++ b/test/control/StateMachineTest.cpp
@@ -9,7 +9,10 @@
 
 namespace {
 
-/** What the settings service must do, without any of its means. */
+/**
+ * A reference model of the settings service that shares none of its
+ * implementation.
+ */
 struct NaiveSettings
 {
   std::vector<std::pair<EditId, std::string>> mRevisions;
@@ -52,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("SettingsAreLikeOneNaiveList")
+TEST_CASE("SettingsMatchASimpleListModel")
 {
   rc::prop("answers, texts and history agree", [] {
     StateMachine machine({}, {});
@@ -63,7 +66,7 @@
       const EditId edit("edit-" + std::to_string(*rc::gen::inRange(0, 40)));
       const auto newest = machine.State().mSettings.mRevision.Value();
       const auto back = *rc::gen::inRange<std::uint64_t>(0, 3);
-      // A resent edit is sent as it was.
+      // A resent edit is unchanged.
       const auto [base, text] =
         sent
           .try_emplace(
@@ -103,7 +106,7 @@
   });
 }
 
-TEST_CASE("BoundsOfTheHistoryAreKept")
+TEST_CASE("HistoryLimitsAreEnforced")
 {
   StateMachineOptions options;
   options.mMaxHistory = 20;
@@ -133,7 +136,7 @@
   CHECK(state.mMembership.mOldest.mEpoch == EpochNumber(192));
 }
 
-TEST_CASE("KeptEpochsLeadFromTheOldestToTheCurrentOne")
+TEST_CASE("RetainedEpochsLeadFromTheOldestToTheCurrentOne")
 {
   rc::prop("any joins, drains and removals", [] {
     StateMachineOptions options;
--- a/test/control/StateSurvivesTest.cpp
+++ b/test/control/StateSurvivesTest.cpp
@@ -21,17 +21,17 @@
 std::string
 NewestText(ControlCluster& aCluster)
 {
-  const OperatorResponse answer = aCluster.AskLeader(SettingsRequest{});
+  const OperatorResponse answer = aCluster.RequestFromLeader(SettingsRequest{});
   const auto* settings = std::get_if<SettingsResponse>(&answer);
   return settings == nullptr ? "no answer" : settings->mText;
 }
 
-/** Returns any replica that doesn't lead, other than aBut. */
+/** Returns any replica that doesn't lead, other than aExcept. */
 std::string
-Follower(ControlCluster& aCluster, const std::string& aBut = {})
+Follower(ControlCluster& aCluster, const std::string& aExcept = {})
 {
   for (const char* name : kAll) {
-    if (aCluster.Leader() != name && aBut != name) {
+    if (aCluster.Leader() != name && aExcept != name) {
       return name;
     }
   }
@@ -40,11 +40,11 @@
 
 } // namespace
 
-// Symptom: a committed edit is gone after a lost disk.
-// Sequence: one replica loses its disk and is repaired; right after that a
-// second one is lost for good; what remains must still hold all edits.
-// Cause: a repaired replica that counts in majorities before it has the log.
-TEST_CASE("SecondReplicaLostRightAfterARepairLosesNothing")
+// Guards against a committed edit that is lost with a disk. One replica loses
+// its disk and is repaired; right after that a second one is lost permanently.
+// The remaining replicas must still hold all edits. The fault occurs if a
+// repaired replica counts in majorities before it has the log.
+TEST_CASE("SecondReplicaLossRightAfterARepairLosesNoEdit")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -69,11 +69,11 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: a committed edit is gone although only one disk was lost.
-// Sequence: an edit is committed by replicas 1 and 2 while 3 is cut off; 2
-// loses its disk and comes back; 1 is cut off; 3 and 2 could make a majority.
-// Cause: an empty folder that votes under its old identity.
-TEST_CASE("EmptyFolderHelpsNobodyIntoTheLead")
+// Guards against a committed edit that is lost although only one disk was lost.
+// An edit is committed by replicas 1 and 2 while 3 is partitioned; 2 loses its
+// disk and restarts; 1 is partitioned; 3 and 2 could form a majority. The fault
+// occurs if a replica with an empty folder votes under its old identity.
+TEST_CASE("ReplicaWithEmptyFolderGrantsNoVote")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
@@ -100,10 +100,10 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: an acknowledged edit is gone after a power failure.
-// Sequence: all replicas lose power at the same moment, again and again, right
-// after an edit was answered.
-// Cause: an acknowledgement sent before the disk had synced.
+// Guards against an acknowledged edit that is lost in a power failure. All
+// replicas repeatedly lose power at the same moment, right after an edit was
+// acknowledged. The fault occurs if an acknowledgement is sent before the disk
+// has synced.
 TEST_CASE("AcknowledgedEditsSurviveAPowerFailureOfAllReplicas")
 {
   ControlCluster cluster;
@@ -126,8 +126,8 @@
   CHECK(cluster.Problems() == std::vector<std::string>{});
 }
 
-// Symptom: a process started with a live replica's name pushes that one out.
-// Cause: the same name in two settings files.
+// Guards against a process that displaces a live replica of the same name. This
+// happens when two settings files contain the same name.
 TEST_CASE("JoinUnderTheNameOfALiveReplicaIsRefused")
 {
   ControlCluster cluster;
--- a/test/control/SuspectsTest.cpp
+++ b/test/control/SuspectsTest.cpp
@@ -7,7 +7,10 @@
 
 namespace {
 
-/** Eight entries in four domains; links between entries are told to them. */
+/**
+ * Eight entries in four failure domains. The tests set which links between
+ * entries are reported as broken.
+ */
 class PeerLinks
 {
 public:
@@ -34,7 +37,9 @@
     return *mCluster.Process(Name(aNumber)).mSession;
   }
 
-  /** Tells each entry whom it can't reach, by a rule. */
+  /**
+   * Reports to each entry the peers that it can't reach according to aIsCut.
+   */
   void Cut(const std::function<bool(int, int)>& aIsCut)
   {
     for (int one = 1; one <= 8; ++one) {
@@ -59,10 +64,10 @@
 
 } // namespace
 
-// Symptom: accepted requests of many shards wait without an end.
-// Sequence: an entry's links to its peers go, its links to the control
-// replicas stay.
-// Cause: health judged by the control replicas' hearing alone.
+// Guards against accepted requests of many shards that wait forever. An entry
+// loses the links to its peers and retains those to the control replicas. The
+// fault occurs if health is judged only by the heartbeats that control replicas
+// receive.
 TEST_CASE("EntryThatReachesControlButNoPeerIsRemoved")
 {
   PeerLinks links;
@@ -75,7 +80,7 @@
   CHECK(links.mCluster.Problems() == std::vector<std::string>{});
 }
 
-TEST_CASE("OneBadLinkBetweenEntriesTakesNobodyOut")
+TEST_CASE("OneFaultyLinkBetweenEntriesRemovesNoEntry")
 {
   PeerLinks links;
   links.Cut([](int aOne, int aOther) {
@@ -87,8 +92,9 @@
   }
 }
 
-// One entry, or two of one domain, can't vote the others out.
-TEST_CASE("EntriesOfOneDomainTakeNobodyElseOut")
+// Reports by one entry, or by two of one failure domain, can't remove the
+// others.
+TEST_CASE("EntriesOfOneDomainCannotRemoveOthers")
 {
   PeerLinks links;
   links.Cut(
@@ -99,9 +105,9 @@
   }
 }
 
-// Symptom: a cut between two halves empties the member list.
-// Cause: everybody who is reported taken out at the same moment.
-TEST_CASE("CutBetweenTwoHalvesLeavesOneHalfWhole")
+// Guards against a partition between two halves that empties the member list.
+// The fault occurs if all reported entries are removed at the same moment.
+TEST_CASE("PartitionIntoTwoHalvesLeavesOneHalfComplete")
 {
   PeerLinks links;
   const auto left = [](int aNumber) { return aNumber % 4 < 2; };
--- a/test/control/VoteNoticesTest.cpp
+++ b/test/control/VoteNoticesTest.cpp
@@ -24,9 +24,9 @@
 
 } // namespace
 
-// Symptom: a group stood still for a minute, and its lines could not tell
-// whether votes were asked for, refused, or waited for a disk.
-TEST_CASE("AnElectionTellsEachVoteAskedGivenAndSaved")
+// Guards against a group that had no leader for a minute and whose log events
+// didn't show whether votes were requested, refused, or waited for a disk.
+TEST_CASE("ElectionLogsEachVoteRequestedGrantedAndSaved")
 {
   ControlCluster cluster(1);
   cluster.StartControls(3);
@@ -43,7 +43,7 @@
   CHECK(CountOf(cluster, ControlNotice::kVoteSaved, "write=") >= 2);
 }
 
-TEST_CASE("AGroupInPeaceTellsNothingOfVotes")
+TEST_CASE("StableGroupLogsNoVoteEvents")
 {
   ControlCluster cluster(2);
   cluster.StartControls(3);
