--- a/bench/LedgerBench.cpp
+++ b/bench/LedgerBench.cpp
@@ -205,7 +205,7 @@
     aState.counters["delta_fills"] =
       static_cast<double>(model.Sum(&LedgerCounters::mDeltaFills));
     aState.counters["whole_fills"] =
-      static_cast<double>(model.Sum(&LedgerCounters::mWholeFills));
+      static_cast<double>(model.Sum(&LedgerCounters::mFullFills));
   }
 }
 BENCHMARK(RecoveryAfterLoss)
--- a/include/peridotspool/ledger/LedgerCounters.h
+++ b/include/peridotspool/ledger/LedgerCounters.h
@@ -18,7 +18,7 @@
   /** Copies filled by what changed since a common version. */
   std::uint64_t mDeltaFills = 0;
   /** Copies filled as a whole. */
-  std::uint64_t mWholeFills = 0;
+  std::uint64_t mFullFills = 0;
   /** Accepts refused because the memory bound was reached. */
   std::uint64_t mFull = 0;
   /** Messages sent a second time because no answer came. */
--- a/include/peridotspool/ledger/LedgerOptions.h
+++ b/include/peridotspool/ledger/LedgerOptions.h
@@ -24,15 +24,15 @@
   /** How long a finished request's answer is kept for its caller. */
   Duration mRetention = std::chrono::minutes(10);
   /** After this long without an answer a message is sent again. */
-  Duration mResendAfter = std::chrono::milliseconds(150);
+  Duration mResendInterval = std::chrono::milliseconds(150);
   /** An operation without an answer for this long ends as kNoAnswer. */
-  Duration mGiveUpAfter = std::chrono::seconds(10);
+  Duration mCallTimeout = std::chrono::seconds(10);
   /** How long past its deadline a request may be unfinished. */
   Duration mDeadlineGrace = std::chrono::seconds(1);
   /** How often an orphaned request is announced until it is taken over. */
-  Duration mOrphanRepeat = std::chrono::seconds(1);
+  Duration mOrphanInterval = std::chrono::seconds(1);
   /** How often a copy that is no longer needed asks to be released. */
-  Duration mLeftoverRepeat = std::chrono::seconds(1);
+  Duration mLeftoverInterval = std::chrono::seconds(1);
   /** How long after a loss unknown keys may name lost requests. */
   Duration mLossWindow = std::chrono::minutes(30);
   /** Changes that each shard remembers, for filling a copy by delta. */
--- a/include/peridotspool/ledger/PeeringMessage.h
+++ b/include/peridotspool/ledger/PeeringMessage.h
@@ -53,7 +53,7 @@
   /** Sets in charge between the activated interval and the present one. */
   std::vector<PastSet> mLater;
   /** True iff mLater is known to lack none. */
-  bool mLaterIsWhole = false;
+  bool mLaterIsComplete = false;
   /** The last set that the member saw leave the member list as a whole. */
   std::optional<PastSet> mVanished;
   /** For how long unknown keys may still name lost requests. */
@@ -68,7 +68,7 @@
                        mActivatedSet,
                        mLast,
                        mLater,
-                       mLaterIsWhole,
+                       mLaterIsComplete,
                        mVanished,
                        mLossRemaining))
 
--- a/src/ledger/CallDuty.cpp
+++ b/src/ledger/CallTracker.cpp
@@ -1,6 +1,6 @@
-#include "ledger/CallDuty.h"
+#include "ledger/CallTracker.h"
 
-#include "ledger/PrimaryDuty.h"
+#include "ledger/ShardPrimary.h"
 
 #include <algorithm>
 
@@ -21,14 +21,14 @@
 
 } // namespace
 
-CallDuty::CallDuty(LedgerContext& aContext, PrimaryDuty& aPrimary)
+CallTracker::CallTracker(LedgerContext& aContext, ShardPrimary& aPrimary)
   : mContext(aContext)
   , mPrimary(aPrimary)
 {
 }
 
 void
-CallDuty::OnPropose(const ProposeEvent& aEvent)
+CallTracker::OnPropose(const ProposeEvent& aEvent)
 {
   const auto [place, isNew] =
     mCalls.try_emplace(aEvent.mCall,
@@ -43,10 +43,10 @@
 }
 
 void
-CallDuty::Send(CallId aId, Call& aCall)
+CallTracker::Send(CallId aId, Call& aCall)
 {
   mTimers.erase({ aCall.mNextSend, aId });
-  aCall.mNextSend = mContext.mNow + mContext.mOptions.mResendAfter;
+  aCall.mNextSend = mContext.mNow + mContext.mOptions.mResendInterval;
   mTimers.emplace(aCall.mNextSend, aId);
   const ShardId shard = ShardOf(aCall.mKey);
   const MemberId primary = mContext.mPlacement.PrimaryOf(shard);
@@ -71,13 +71,13 @@
 }
 
 void
-CallDuty::OnAnswer(CallId aCall, const OperationAnswer& aAnswer)
+CallTracker::OnAnswer(CallId aCall, const OperationAnswer& aAnswer)
 {
   Finish(aCall, aAnswer);
 }
 
 void
-CallDuty::Finish(CallId aId, OperationAnswer aAnswer)
+CallTracker::Finish(CallId aId, OperationAnswer aAnswer)
 {
   const auto found = mCalls.find(aId);
   if (found == mCalls.end()) {
@@ -100,7 +100,7 @@
 // A primary drops what it had under way when its replica set changes, also
 // when it stays the primary, so everything is sent again at once.
 void
-CallDuty::OnEpoch()
+CallTracker::OnEpoch()
 {
   std::vector<CallId> open;
   open.reserve(mCalls.size());
@@ -115,7 +115,7 @@
 }
 
 void
-CallDuty::OnTick()
+CallTracker::OnTick()
 {
   std::vector<CallId> due;
   for (auto timer = mTimers.begin();
@@ -129,7 +129,7 @@
       continue;
     }
     const Duration age = mContext.mNow - found->second.mStarted;
-    if (age >= mContext.mOptions.mGiveUpAfter) {
+    if (age >= mContext.mOptions.mCallTimeout) {
       Finish(id, OperationAnswer{ .mVerdict = Verdict::kNoAnswer });
       continue;
     }
--- a/src/ledger/CallDuty.h
+++ b/src/ledger/CallTracker.h
@@ -9,13 +9,13 @@
 
 namespace peridotspool::ledger {
 
-class PrimaryDuty;
+class ShardPrimary;
 
 /** This entry's own operations: sent to primaries until they are answered. */
-class CallDuty
+class CallTracker
 {
 public:
-  CallDuty(LedgerContext& aContext, PrimaryDuty& aPrimary);
+  CallTracker(LedgerContext& aContext, ShardPrimary& aPrimary);
 
   void OnPropose(const ProposeEvent& aEvent);
   void OnAnswer(CallId aCall, const OperationAnswer& aAnswer);
@@ -36,7 +36,7 @@
   void Finish(CallId aId, OperationAnswer aAnswer);
 
   LedgerContext& mContext;
-  PrimaryDuty& mPrimary;
+  ShardPrimary& mPrimary;
   std::map<CallId, Call> mCalls;
   std::set<std::pair<TimePoint, CallId>> mTimers;
 };
--- a/src/ledger/TransferDuty.cpp
+++ b/src/ledger/CopyTransfer.cpp
@@ -1,4 +1,4 @@
-#include "ledger/TransferDuty.h"
+#include "ledger/CopyTransfer.h"
 
 #include <set>
 #include <utility>
@@ -86,13 +86,13 @@
 
 } // namespace
 
-TransferDuty::TransferDuty(LedgerContext& aContext)
+CopyTransfer::CopyTransfer(LedgerContext& aContext)
   : mContext(aContext)
 {
 }
 
 void
-TransferDuty::Start(Shard& aShard, MemberId aSource)
+CopyTransfer::Start(Shard& aShard, MemberId aSource)
 {
   if (!aShard.mFill || aShard.mFill->mSource != aSource) {
     aShard.mFill = ShardFill();
@@ -102,10 +102,10 @@
 }
 
 void
-TransferDuty::Pull(Shard& aShard)
+CopyTransfer::Pull(Shard& aShard)
 {
   ShardFill& fill = *aShard.mFill;
-  fill.mNextResend = mContext.mNow + mContext.mOptions.mResendAfter;
+  fill.mNextResend = mContext.mNow + mContext.mOptions.mResendInterval;
   mContext.Send(fill.mSource,
                 PullMessage{ .mShard = aShard.mId,
                              .mInterval = aShard.mInterval,
@@ -114,7 +114,7 @@
 }
 
 void
-TransferDuty::OnTick(Shard& aShard)
+CopyTransfer::OnTick(Shard& aShard)
 {
   if (aShard.mFill && aShard.mFill->mNextResend <= mContext.mNow) {
     ++mContext.mCounters.mResent;
@@ -126,7 +126,7 @@
 // served only for an interval in which this entry has not begun to serve, and
 // operations of earlier intervals are refused from then on.
 void
-TransferDuty::OnPull(MemberId aFrom, const PullMessage& aPull)
+CopyTransfer::OnPull(MemberId aFrom, const PullMessage& aPull)
 {
   Shard& shard = mContext.ShardAt(aPull.mShard);
   if (mContext.mEpoch < aPull.mInterval || shard.mServing) {
@@ -163,7 +163,7 @@
 }
 
 bool
-TransferDuty::OnChunk(MemberId aFrom, const ChunkMessage& aChunk)
+CopyTransfer::OnChunk(MemberId aFrom, const ChunkMessage& aChunk)
 {
   Shard& shard = mContext.ShardAt(aChunk.mShard);
   const bool expected = shard.mFill && shard.mFill->mSource == aFrom &&
@@ -190,7 +190,7 @@
 }
 
 void
-TransferDuty::Stage(Shard& aShard, const ChunkMessage& aChunk)
+CopyTransfer::Stage(Shard& aShard, const ChunkMessage& aChunk)
 {
   ShardFill& fill = *aShard.mFill;
   fill.mTarget = aChunk.mTarget;
@@ -202,7 +202,7 @@
 }
 
 void
-TransferDuty::Complete(Shard& aShard, const ChunkMessage& aLast)
+CopyTransfer::Complete(Shard& aShard, const ChunkMessage& aLast)
 {
   const HeldBytesGuard guard(mContext, aShard);
   const ShardFill fill = std::move(*aShard.mFill);
@@ -210,7 +210,7 @@
   if (aLast.mWhole) {
     aShard.mStore = RecordStore();
     aShard.mLog.Restart(aLast.mTarget);
-    ++mContext.mCounters.mWholeFills;
+    ++mContext.mCounters.mFullFills;
   } else {
     for (const LogEntry& entry : aLast.mLog) {
       aShard.mLog.Append(entry, mContext.mOptions.mLogEntries);
--- a/src/ledger/TransferDuty.h
+++ b/src/ledger/CopyTransfer.h
@@ -6,10 +6,10 @@
 
 /** Fills a copy from another member's, and lets others fill theirs from here.
  */
-class TransferDuty
+class CopyTransfer
 {
 public:
-  explicit TransferDuty(LedgerContext& aContext);
+  explicit CopyTransfer(LedgerContext& aContext);
 
   /** Begins to fill the shard's copy, or goes on if it is under way. */
   void Start(Shard& aShard, MemberId aSource);
--- a/src/ledger/LedgerState.h
+++ b/src/ledger/LedgerState.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "ledger/CallDuty.h"
+#include "ledger/CallTracker.h"
+#include "ledger/CopyTransfer.h"
 #include "ledger/LedgerContext.h"
-#include "ledger/PeeringDuty.h"
-#include "ledger/PrimaryDuty.h"
-#include "ledger/ReplicaDuty.h"
-#include "ledger/TransferDuty.h"
+#include "ledger/PeeringManager.h"
+#include "ledger/ShardPrimary.h"
+#include "ledger/ShardReplica.h"
 #include "peridotspool/ledger/Ledger.h"
 
 namespace peridotspool::ledger {
@@ -28,11 +28,11 @@
   void OnMessage(MemberId aFrom, const Message& aMessage);
 
   LedgerContext mContext;
-  PrimaryDuty mPrimary;
-  TransferDuty mTransfer;
-  ReplicaDuty mReplica;
-  PeeringDuty mPeering;
-  CallDuty mCalls;
+  ShardPrimary mPrimary;
+  CopyTransfer mTransfer;
+  ShardReplica mReplica;
+  PeeringManager mPeering;
+  CallTracker mCalls;
 };
 
 } // namespace peridotspool::ledger
--- a/src/ledger/PeeringChoice.cpp
+++ b/src/ledger/PeeringChoice.cpp
@@ -15,33 +15,33 @@
 };
 
 bool
-Heard(const PeeringFacts& aFacts, MemberId aMember)
+HasReported(const PeeringInput& aInput, MemberId aMember)
 {
-  return aFacts.mReports.contains(aMember);
+  return aInput.mReports.contains(aMember);
 }
 
 bool
-AllHeard(const PeeringFacts& aFacts, const auto& aMembers)
+AllReported(const PeeringInput& aInput, const auto& aMembers)
 {
   return std::all_of(aMembers.begin(), aMembers.end(), [&](MemberId aMember) {
-    return Heard(aFacts, aMember);
+    return HasReported(aInput, aMember);
   });
 }
 
 /** Returns kWaiting if one of them may yet report, else kGone. */
 Finding
-WaitFor(const PeeringFacts& aFacts, const std::vector<MemberId>& aMembers)
+WaitFor(const PeeringInput& aInput, const std::vector<MemberId>& aMembers)
 {
   const bool mayReport =
     std::any_of(aMembers.begin(), aMembers.end(), [&](MemberId aMember) {
-      return aFacts.mMembers.contains(aMember) && !Heard(aFacts, aMember);
+      return aInput.mMembers.contains(aMember) && !HasReported(aInput, aMember);
     });
   return mayReport ? Finding::kWaiting : Finding::kGone;
 }
 
 /** Returns the reporter with the newest copy, or an unset id. */
 MemberId
-Newest(const PeeringFacts& aFacts)
+Newest(const PeeringInput& aInput)
 {
   MemberId newest;
   const ShardReport* best = nullptr;
@@ -59,11 +59,11 @@
     }
   };
   // The asker first: of equal copies its own needs no transfer.
-  if (const auto own = aFacts.mReports.find(aFacts.mSet.front());
-      own != aFacts.mReports.end()) {
+  if (const auto own = aInput.mReports.find(aInput.mSet.front());
+      own != aInput.mReports.end()) {
     consider(own->first, own->second);
   }
-  for (const auto& [member, report] : aFacts.mReports) {
+  for (const auto& [member, report] : aInput.mReports) {
     consider(member, report);
   }
   return newest;
@@ -71,36 +71,36 @@
 
 /** Has somebody with all commits of the newest activated interval reported? */
 Finding
-FindActivated(const PeeringFacts& aFacts, const ShardReport& aBest)
+FindActivated(const PeeringInput& aInput, const ShardReport& aBest)
 {
   const std::vector<MemberId>& set = aBest.mActivatedSet;
-  if (aFacts.mRule == CommitRule::kAllReplicas || set.size() <= 2) {
+  if (aInput.mRule == CommitRule::kAllReplicas || set.size() <= 2) {
     return Finding::kCovered;
   }
-  if (Heard(aFacts, set.front())) {
+  if (HasReported(aInput, set.front())) {
     return Finding::kCovered;
   }
   const std::vector<MemberId> others(set.begin() + 1, set.end());
-  return AllHeard(aFacts, others) ? Finding::kCovered : WaitFor(aFacts, set);
+  return AllReported(aInput, others) ? Finding::kCovered : WaitFor(aInput, set);
 }
 
 /** Has a member of a later set said that it never went active? */
 Finding
-FindLater(const PeeringFacts& aFacts, const PastSet& aLater)
+FindLater(const PeeringInput& aInput, const PastSet& aLater)
 {
   const bool witness =
     std::any_of(aLater.mMembers.begin(),
                 aLater.mMembers.end(),
-                [&](MemberId aMember) { return Heard(aFacts, aMember); });
-  return witness ? Finding::kCovered : WaitFor(aFacts, aLater.mMembers);
+                [&](MemberId aMember) { return HasReported(aInput, aMember); });
+  return witness ? Finding::kCovered : WaitFor(aInput, aLater.mMembers);
 }
 
 /** Returns the sets in charge after `aActivated` that anybody knows of. */
 std::vector<PastSet>
-LaterSets(const PeeringFacts& aFacts, EpochNumber aActivated)
+LaterSets(const PeeringInput& aInput, EpochNumber aActivated)
 {
   std::vector<PastSet> sets;
-  for (const auto& [member, report] : aFacts.mReports) {
+  for (const auto& [member, report] : aInput.mReports) {
     for (const PastSet& later : report.mLater) {
       if (later.mEpoch > aActivated) {
         sets.push_back(later);
@@ -115,44 +115,44 @@
 
 /** Returns true iff no set in charge after the best copy can be unknown. */
 bool
-PastIsKnown(const PeeringFacts& aFacts, EpochNumber aActivated)
+PastIsKnown(const PeeringInput& aInput, EpochNumber aActivated)
 {
-  if (AllHeard(aFacts, aFacts.mMembers)) {
+  if (AllReported(aInput, aInput.mMembers)) {
     return true;
   }
   return std::any_of(
-    aFacts.mReports.begin(), aFacts.mReports.end(), [&](const auto& aEntry) {
+    aInput.mReports.begin(), aInput.mReports.end(), [&](const auto& aEntry) {
       const ShardReport& report = aEntry.second;
       return aActivated.IsSet() && report.mActivated == aActivated &&
-             report.mLaterIsWhole;
+             report.mLaterIsComplete;
     });
 }
 
 } // namespace
 
 PeeringChoice
-ChooseSource(const PeeringFacts& aFacts)
+ChooseSource(const PeeringInput& aInput)
 {
   PeeringChoice choice;
-  if (!AllHeard(aFacts, aFacts.mSet)) {
+  if (!AllReported(aInput, aInput.mSet)) {
     return choice;
   }
-  choice.mSource = Newest(aFacts);
+  choice.mSource = Newest(aInput);
   const ShardReport best =
-    choice.mSource.IsSet() ? aFacts.mReports.at(choice.mSource) : ShardReport();
-  if (!PastIsKnown(aFacts, best.mActivated)) {
+    choice.mSource.IsSet() ? aInput.mReports.at(choice.mSource) : ShardReport();
+  if (!PastIsKnown(aInput, best.mActivated)) {
     return choice;
   }
-  std::vector<Finding> findings{ FindActivated(aFacts, best) };
-  for (const PastSet& later : LaterSets(aFacts, best.mActivated)) {
-    findings.push_back(FindLater(aFacts, later));
+  std::vector<Finding> findings{ FindActivated(aInput, best) };
+  for (const PastSet& later : LaterSets(aInput, best.mActivated)) {
+    findings.push_back(FindLater(aInput, later));
   }
   const auto has = [&](Finding aFinding) {
     return std::find(findings.begin(), findings.end(), aFinding) !=
            findings.end();
   };
   choice.mReady = !has(Finding::kWaiting);
-  choice.mMayLack = has(Finding::kGone);
+  choice.mMayMissCommits = has(Finding::kGone);
   return choice;
 }
 
--- a/src/ledger/PeeringChoice.h
+++ b/src/ledger/PeeringChoice.h
@@ -10,7 +10,7 @@
 namespace peridotspool::ledger {
 
 /** What a new primary knows when it looks for the newest copy. */
-struct PeeringFacts
+struct PeeringInput
 {
   CommitRule mRule = CommitRule::kAllReplicas;
   /** The new replica set, the primary (who asks) first. */
@@ -27,7 +27,7 @@
   /** Unset if nobody holds anything. */
   MemberId mSource;
   /** Records may have been committed by members that are all gone. */
-  bool mMayLack = false;
+  bool mMayMissCommits = false;
 
   auto operator<=>(const PeeringChoice&) const = default;
 };
@@ -40,6 +40,6 @@
  * before the first commit.
  */
 PeeringChoice
-ChooseSource(const PeeringFacts& aFacts);
+ChooseSource(const PeeringInput& aInput);
 
 } // namespace peridotspool::ledger
--- a/src/ledger/PeeringEpoch.cpp
+++ b/src/ledger/PeeringEpoch.cpp
@@ -1,4 +1,4 @@
-#include "ledger/PeeringDuty.h"
+#include "ledger/PeeringManager.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 } // namespace
 
 void
-PeeringDuty::OnEpoch(const membership::EpochMap& aMap)
+PeeringManager::OnEpoch(const membership::EpochMap& aMap)
 {
   const EpochNumber oldEpoch = mContext.mEpoch;
   const bool contiguous = oldEpoch.IsSet() && aMap.mEpoch == oldEpoch.Next();
@@ -39,7 +39,7 @@
       continue;
     }
     if (!same && oldEpoch.IsSet()) {
-      NotePast(shard, shard.mSet, oldEpoch, contiguous);
+      RecordPastSet(shard, shard.mSet, oldEpoch, contiguous);
     }
     shard.mSet = set;
     BeginInterval(shard, aMap.mEpoch);
@@ -50,10 +50,10 @@
 // went active in between, so each copy carries the list of sets that were in
 // charge after it; a primary that has just joined learns them from the copies.
 void
-PeeringDuty::NotePast(Shard& aShard,
-                      const std::vector<MemberId>& aOldSet,
-                      EpochNumber aOldEpoch,
-                      bool aContiguous)
+PeeringManager::RecordPastSet(Shard& aShard,
+                              const std::vector<MemberId>& aOldSet,
+                              EpochNumber aOldEpoch,
+                              bool aContiguous)
 {
   const bool anyLeft =
     std::any_of(aOldSet.begin(), aOldSet.end(), [&](MemberId aMember) {
@@ -65,36 +65,37 @@
   if (!aShard.HoldsCopy()) {
     return;
   }
-  aShard.mLaterIsWhole = aShard.mLaterIsWhole && aContiguous;
+  aShard.mLaterIsComplete = aShard.mLaterIsComplete && aContiguous;
   if (aShard.mInterval > aShard.mActivated && !aOldSet.empty()) {
     aShard.mLater.push_back(
       { .mEpoch = aShard.mInterval, .mMembers = aOldSet });
   }
   if (aShard.mLater.size() > kMaxLaterSets) {
     aShard.mLater.erase(aShard.mLater.begin());
-    aShard.mLaterIsWhole = false;
+    aShard.mLaterIsComplete = false;
   }
 }
 
 void
-PeeringDuty::BeginInterval(Shard& aShard, EpochNumber aEpoch)
+PeeringManager::BeginInterval(Shard& aShard, EpochNumber aEpoch)
 {
   std::vector<WaitingOperation> waiting = std::move(aShard.mQueue.mWaiting);
   aShard.mInterval = aEpoch;
   aShard.mServing = false;
   aShard.mRound.reset();
   aShard.mFill.reset();
-  aShard.mEarly.clear();
+  aShard.mOutOfOrder.clear();
   aShard.mQueue = PrimaryQueue();
   const MemberId primary = aShard.Primary();
   if (primary == mContext.mSelf) {
     aShard.mQueue.mWaiting = std::move(waiting);
     aShard.mRound = PeeringRound();
-    aShard.mRound->mNextResend = mContext.mNow + mContext.mOptions.mResendAfter;
+    aShard.mRound->mNextResend =
+      mContext.mNow + mContext.mOptions.mResendInterval;
     aShard.mRound->mReports[mContext.mSelf] = ReportOf(aShard, mContext.mNow);
-    AskLikelyHolders(aShard);
+    QueryLikelyHolders(aShard);
     if (!aShard.HoldsCopy()) {
-      AskAll(aShard);
+      QueryAll(aShard);
     }
     TryChoose(aShard);
   } else if (aShard.HoldsCopy() && primary.IsSet()) {
@@ -102,7 +103,7 @@
     // just joined of a copy that it can't know of.
     mContext.mOutbox.mReports[primary].mReports.push_back(
       ReportOf(aShard, mContext.mNow));
-    aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverRepeat;
+    aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverInterval;
   }
 }
 
--- a/src/ledger/PeeringDuty.cpp
+++ b/src/ledger/PeeringManager.cpp
@@ -1,4 +1,4 @@
-#include "ledger/PeeringDuty.h"
+#include "ledger/PeeringManager.h"
 
 #include "ledger/PeeringChoice.h"
 #include "ledger/RecordRules.h"
@@ -8,9 +8,9 @@
 
 namespace peridotspool::ledger {
 
-PeeringDuty::PeeringDuty(LedgerContext& aContext,
-                         PrimaryDuty& aPrimary,
-                         TransferDuty& aTransfer)
+PeeringManager::PeeringManager(LedgerContext& aContext,
+                               ShardPrimary& aPrimary,
+                               CopyTransfer& aTransfer)
   : mContext(aContext)
   , mPrimary(aPrimary)
   , mTransfer(aTransfer)
@@ -18,7 +18,7 @@
 }
 
 bool
-PeeringDuty::Admit(MemberId aFrom, Shard& aShard, EpochNumber aInterval)
+PeeringManager::Admit(MemberId aFrom, Shard& aShard, EpochNumber aInterval)
 {
   if (mContext.mEpoch < aInterval) {
     // This entry hasn't got the member list yet; the primary asks again.
@@ -35,13 +35,13 @@
     // The primary peers again under a later number, though the set is alike.
     aShard.mInterval = aInterval;
     aShard.mFill.reset();
-    aShard.mEarly.clear();
+    aShard.mOutOfOrder.clear();
   }
   return true;
 }
 
 void
-PeeringDuty::OnQuery(MemberId aFrom, const QueryMessage& aQuery)
+PeeringManager::OnQuery(MemberId aFrom, const QueryMessage& aQuery)
 {
   for (const ShardInterval& item : aQuery.mShards) {
     Shard& shard = mContext.ShardAt(item.mShard);
@@ -53,7 +53,7 @@
 }
 
 void
-PeeringDuty::OnReport(MemberId aFrom, const ReportMessage& aMessage)
+PeeringManager::OnReport(MemberId aFrom, const ReportMessage& aMessage)
 {
   for (const ShardReport& report : aMessage.mReports) {
     Shard& shard = mContext.ShardAt(report.mShard);
@@ -65,14 +65,14 @@
       continue;
     }
     shard.mRound->mReports[aFrom] = report;
-    if (shard.mRound->mPhase == PeeringPhase::kAsking) {
+    if (shard.mRound->mPhase == PeeringPhase::kQuerying) {
       TryChoose(shard);
     }
   }
 }
 
 void
-PeeringDuty::Ask(Shard& aShard, MemberId aMember)
+PeeringManager::Query(Shard& aShard, MemberId aMember)
 {
   if (aMember != mContext.mSelf && mContext.IsMember(aMember) &&
       !aShard.mRound->mReports.contains(aMember)) {
@@ -82,7 +82,7 @@
 }
 
 void
-PeeringDuty::AskLikelyHolders(Shard& aShard)
+PeeringManager::QueryLikelyHolders(Shard& aShard)
 {
   std::set<MemberId> likely(aShard.mSet.begin(), aShard.mSet.end());
   likely.insert(aShard.mActivatedSet.begin(), aShard.mActivatedSet.end());
@@ -96,21 +96,21 @@
     }
   }
   for (const MemberId member : likely) {
-    Ask(aShard, member);
+    Query(aShard, member);
   }
 }
 
 void
-PeeringDuty::AskAll(Shard& aShard)
+PeeringManager::QueryAll(Shard& aShard)
 {
-  aShard.mRound->mAskedAll = true;
+  aShard.mRound->mQueriedAll = true;
   for (const MemberId member : mContext.mMembers) {
-    Ask(aShard, member);
+    Query(aShard, member);
   }
 }
 
 void
-PeeringDuty::TryChoose(Shard& aShard)
+PeeringManager::TryChoose(Shard& aShard)
 {
   PeeringRound& round = *aShard.mRound;
   const PeeringChoice choice =
@@ -125,8 +125,8 @@
     aShard.mLossUntil =
       std::max(aShard.mLossUntil, mContext.mNow + report.mLossRemaining);
   }
-  round.mMayLack = choice.mMayLack;
-  if (choice.mMayLack) {
+  round.mMayMissCommits = choice.mMayMissCommits;
+  if (choice.mMayMissCommits) {
     ++mContext.mCounters.mPossibleLosses;
     aShard.mLossUntil = mContext.mNow + mContext.mOptions.mLossWindow;
   }
@@ -144,7 +144,7 @@
 // can void: it can still be answered, but not sent again nor said not to have
 // run. The marks take places in the log, so that the replicas fetch them.
 void
-PeeringDuty::MarkMayHaveRun(Shard& aShard)
+PeeringManager::MarkMayHaveRun(Shard& aShard)
 {
   std::vector<RequestKey> keys;
   for (const auto& [alarm, key] : aShard.mStore.Unfinished()) {
@@ -164,14 +164,15 @@
 }
 
 void
-PeeringDuty::Activate(Shard& aShard)
+PeeringManager::Activate(Shard& aShard)
 {
-  if (aShard.mRound->mMayLack) {
+  if (aShard.mRound->mMayMissCommits) {
     MarkMayHaveRun(aShard);
   }
   RecordActivation(aShard);
   aShard.mRound->mPhase = PeeringPhase::kActivating;
-  aShard.mRound->mNextResend = mContext.mNow + mContext.mOptions.mResendAfter;
+  aShard.mRound->mNextResend =
+    mContext.mNow + mContext.mOptions.mResendInterval;
   aShard.mRound->mActivated = { mContext.mSelf };
   if (aShard.mSet.size() == 1) {
     const auto reports = aShard.mRound->mReports;
@@ -182,12 +183,12 @@
     return;
   }
   for (const MemberId member : aShard.mSet) {
-    AskActivation(aShard, member);
+    RequestActivation(aShard, member);
   }
 }
 
 void
-PeeringDuty::AskActivation(Shard& aShard, MemberId aMember)
+PeeringManager::RequestActivation(Shard& aShard, MemberId aMember)
 {
   if (!aShard.mRound->mActivated.contains(aMember)) {
     mContext.mOutbox.mActivates[aMember].mShards.push_back(
@@ -200,7 +201,7 @@
 }
 
 void
-PeeringDuty::OnActivate(MemberId aFrom, const ActivateMessage& aActivate)
+PeeringManager::OnActivate(MemberId aFrom, const ActivateMessage& aActivate)
 {
   for (const ShardActivation& item : aActivate.mShards) {
     Shard& shard = mContext.ShardAt(item.mShard);
@@ -211,7 +212,7 @@
       shard.mLossUntil = mContext.mNow + item.mLossRemaining;
     }
     if (shard.IsActive() || shard.mLog.Last() == item.mTarget) {
-      RecordAndAnswer(shard);
+      RecordAndReply(shard);
     } else {
       mTransfer.Start(shard, aFrom);
     }
@@ -219,7 +220,7 @@
 }
 
 void
-PeeringDuty::RecordAndAnswer(Shard& aShard)
+PeeringManager::RecordAndReply(Shard& aShard)
 {
   if (!aShard.IsActive()) {
     RecordActivation(aShard);
@@ -229,17 +230,17 @@
 }
 
 void
-PeeringDuty::OnFilled(Shard& aShard)
+PeeringManager::OnFilled(Shard& aShard)
 {
   if (aShard.mRound && aShard.mRound->mPhase == PeeringPhase::kFilling) {
     Activate(aShard);
   } else if (!aShard.mRound && aShard.Includes(mContext.mSelf)) {
-    RecordAndAnswer(aShard);
+    RecordAndReply(aShard);
   }
 }
 
 void
-PeeringDuty::OnActivated(MemberId aFrom, const ActivatedMessage& aActivated)
+PeeringManager::OnActivated(MemberId aFrom, const ActivatedMessage& aActivated)
 {
   for (const ShardInterval& item : aActivated.mShards) {
     Shard& shard = mContext.ShardAt(item.mShard);
@@ -264,7 +265,7 @@
 }
 
 void
-PeeringDuty::OnRefused(const RefusedMessage& aRefused)
+PeeringManager::OnRefused(const RefusedMessage& aRefused)
 {
   Shard& shard = mContext.ShardAt(aRefused.mShard.mShard);
   const EpochNumber theirs = aRefused.mShard.mInterval;
@@ -277,9 +278,9 @@
 }
 
 void
-PeeringDuty::Release(Shard& aShard,
-                     MemberId aMember,
-                     const ShardReport& aReport)
+PeeringManager::Release(Shard& aShard,
+                        MemberId aMember,
+                        const ShardReport& aReport)
 {
   const bool superseded = aReport.mActivated.IsSet() &&
                           aReport.mActivated < aShard.mInterval &&
@@ -291,7 +292,7 @@
 }
 
 void
-PeeringDuty::OnRelease(MemberId aFrom, const ReleaseMessage& aRelease)
+PeeringManager::OnRelease(MemberId aFrom, const ReleaseMessage& aRelease)
 {
   for (const ShardInterval& item : aRelease.mShards) {
     Shard& shard = mContext.ShardAt(item.mShard);
@@ -304,13 +305,13 @@
 }
 
 void
-PeeringDuty::OnTick(Shard& aShard)
+PeeringManager::OnTick(Shard& aShard)
 {
   const bool leftover = aShard.HoldsCopy() &&
                         !aShard.Includes(mContext.mSelf) &&
                         aShard.Primary().IsSet();
   if (leftover && aShard.mNextLeftover <= mContext.mNow) {
-    aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverRepeat;
+    aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverInterval;
     mContext.mOutbox.mReports[aShard.Primary()].mReports.push_back(
       ReportOf(aShard, mContext.mNow));
   }
@@ -318,13 +319,13 @@
     return;
   }
   PeeringRound& round = *aShard.mRound;
-  round.mNextResend = mContext.mNow + mContext.mOptions.mResendAfter;
-  if (round.mPhase == PeeringPhase::kAsking) {
+  round.mNextResend = mContext.mNow + mContext.mOptions.mResendInterval;
+  if (round.mPhase == PeeringPhase::kQuerying) {
     // The likely holders didn't suffice: somebody else may hold a copy.
-    AskAll(aShard);
+    QueryAll(aShard);
   } else if (round.mPhase == PeeringPhase::kActivating) {
     for (const MemberId member : aShard.mSet) {
-      AskActivation(aShard, member);
+      RequestActivation(aShard, member);
     }
   }
 }
--- a/src/ledger/PeeringDuty.h
+++ b/src/ledger/PeeringManager.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "ledger/CopyTransfer.h"
 #include "ledger/LedgerContext.h"
-#include "ledger/PrimaryDuty.h"
-#include "ledger/TransferDuty.h"
+#include "ledger/ShardPrimary.h"
 #include "peridotspool/membership/EpochMap.h"
 
 namespace peridotspool::ledger {
@@ -12,12 +12,12 @@
  * newest copy, fills its own and the replicas', has the activation recorded by
  * all of them, and only then serves.
  */
-class PeeringDuty
+class PeeringManager
 {
 public:
-  PeeringDuty(LedgerContext& aContext,
-              PrimaryDuty& aPrimary,
-              TransferDuty& aTransfer);
+  PeeringManager(LedgerContext& aContext,
+                 ShardPrimary& aPrimary,
+                 CopyTransfer& aTransfer);
 
   void OnEpoch(const membership::EpochMap& aMap);
   void OnQuery(MemberId aFrom, const QueryMessage& aQuery);
@@ -34,23 +34,23 @@
   /** Whether a primary's message is of the present interval. */
   bool Admit(MemberId aFrom, Shard& aShard, EpochNumber aInterval);
   void BeginInterval(Shard& aShard, EpochNumber aEpoch);
-  void NotePast(Shard& aShard,
-                const std::vector<MemberId>& aOldSet,
-                EpochNumber aOldEpoch,
-                bool aContiguous);
-  void AskLikelyHolders(Shard& aShard);
-  void Ask(Shard& aShard, MemberId aMember);
-  void AskAll(Shard& aShard);
+  void RecordPastSet(Shard& aShard,
+                     const std::vector<MemberId>& aOldSet,
+                     EpochNumber aOldEpoch,
+                     bool aContiguous);
+  void QueryLikelyHolders(Shard& aShard);
+  void Query(Shard& aShard, MemberId aMember);
+  void QueryAll(Shard& aShard);
   void TryChoose(Shard& aShard);
   void Activate(Shard& aShard);
   void MarkMayHaveRun(Shard& aShard);
-  void AskActivation(Shard& aShard, MemberId aMember);
-  void RecordAndAnswer(Shard& aShard);
+  void RequestActivation(Shard& aShard, MemberId aMember);
+  void RecordAndReply(Shard& aShard);
   void Release(Shard& aShard, MemberId aMember, const ShardReport& aReport);
 
   LedgerContext& mContext;
-  PrimaryDuty& mPrimary;
-  TransferDuty& mTransfer;
+  ShardPrimary& mPrimary;
+  CopyTransfer& mTransfer;
 };
 
 } // namespace peridotspool::ledger
--- a/src/ledger/PeeringRound.h
+++ b/src/ledger/PeeringRound.h
@@ -12,7 +12,7 @@
 enum class PeeringPhase
 {
   /** Asks the members what they hold. */
-  kAsking,
+  kQuerying,
   /** Fills its own copy from the newest. */
   kFilling,
   /** Waits until all replicas have recorded the activation. */
@@ -22,13 +22,13 @@
 /** A primary's work between a new interval and serving in it. */
 struct PeeringRound
 {
-  PeeringPhase mPhase = PeeringPhase::kAsking;
+  PeeringPhase mPhase = PeeringPhase::kQuerying;
   std::map<MemberId, ShardReport> mReports;
   std::set<MemberId> mActivated;
   /** True once all members are asked, not just the likely holders. */
-  bool mAskedAll = false;
+  bool mQueriedAll = false;
   /** True once the newest copy found may lack what was committed. */
-  bool mMayLack = false;
+  bool mMayMissCommits = false;
   TimePoint mNextResend;
 };
 
--- a/src/ledger/PrimaryWatch.cpp
+++ b/src/ledger/PrimaryWatch.cpp
@@ -1,4 +1,4 @@
-#include "ledger/PrimaryDuty.h"
+#include "ledger/ShardPrimary.h"
 
 #include <utility>
 
@@ -12,15 +12,15 @@
 } // namespace
 
 void
-PrimaryDuty::Announce(Shard& aShard,
-                      const RequestKey& aKey,
-                      TimePoint aNextAlarm)
+ShardPrimary::Announce(Shard& aShard,
+                       const RequestKey& aKey,
+                       TimePoint aNextAlarm)
 {
   const StoredRecord* stored = aShard.mStore.Find(aKey);
   mContext.mEffects.emplace_back(
     OrphanedEffect{ .mRecord = stored->mRecord,
                     .mRemaining = stored->mDeadline - mContext.mNow });
-  aShard.mStore.Announced(aKey);
+  aShard.mStore.MarkAnnounced(aKey);
   aShard.mStore.SetAlarm(aKey, aNextAlarm);
 }
 
@@ -28,17 +28,17 @@
 // epoch's own search for orphans is over by then, so the record is looked at
 // again soon.
 void
-PrimaryDuty::WatchExecutor(Shard& aShard, const RequestKey& aKey)
+ShardPrimary::WatchExecutor(Shard& aShard, const RequestKey& aKey)
 {
   const StoredRecord* stored = aShard.mStore.Find(aKey);
   if (stored != nullptr && !mContext.IsMember(stored->mRecord.mExecutor)) {
     aShard.mStore.SetAlarm(aKey,
-                           mContext.mNow + mContext.mOptions.mOrphanRepeat);
+                           mContext.mNow + mContext.mOptions.mOrphanInterval);
   }
 }
 
 void
-PrimaryDuty::AnnounceOrphans(Shard& aShard)
+ShardPrimary::AnnounceOrphans(Shard& aShard)
 {
   std::vector<std::pair<RequestKey, TimePoint>> orphans;
   for (const auto& [alarm, key] : aShard.mStore.Unfinished()) {
@@ -48,7 +48,7 @@
       stored.mAnnouncedTurn == stored.mRecord.mExecutorTurn;
     if (!mContext.IsMember(executor)) {
       orphans.emplace_back(*key,
-                           mContext.mNow + mContext.mOptions.mOrphanRepeat);
+                           mContext.mNow + mContext.mOptions.mOrphanInterval);
     } else if (mContext.IsDraining(executor) && !announced) {
       orphans.emplace_back(*key, alarm);
     }
@@ -61,17 +61,17 @@
 // A request whose executor died silently, or hangs, is still to be answered:
 // past its deadline the primary's own request module ends it.
 void
-PrimaryDuty::AnnounceOverdue(Shard& aShard)
+ShardPrimary::AnnounceOverdue(Shard& aShard)
 {
   const RecordStore::Alarms& alarms = aShard.mStore.Unfinished();
   while (!alarms.empty() && alarms.begin()->first <= mContext.mNow) {
     const RequestKey key = *alarms.begin()->second;
-    Announce(aShard, key, mContext.mNow + mContext.mOptions.mOrphanRepeat);
+    Announce(aShard, key, mContext.mNow + mContext.mOptions.mOrphanInterval);
   }
 }
 
 void
-PrimaryDuty::ForgetExpired(Shard& aShard)
+ShardPrimary::ForgetExpired(Shard& aShard)
 {
   const RecordStore::Alarms& alarms = aShard.mStore.Finished();
   for (int i = 0; i < kForgetBatch; ++i) {
--- a/src/ledger/RecordRules.cpp
+++ b/src/ledger/RecordRules.cpp
@@ -11,10 +11,10 @@
 /** How often one key may be refused and begin again while it is kept. */
 constexpr std::size_t kMaxRefusedAccepts = 16;
 
-constexpr Judgement kChange{ .mVerdict = Verdict::kDone, .mChanges = true };
-constexpr Judgement kRepeated{ .mVerdict = Verdict::kDone, .mChanges = false };
+constexpr RuleResult kChange{ .mVerdict = Verdict::kDone, .mChanges = true };
+constexpr RuleResult kRepeated{ .mVerdict = Verdict::kDone, .mChanges = false };
 
-Judgement
+RuleResult
 Refuse(Verdict aVerdict)
 {
   return { .mVerdict = aVerdict, .mChanges = false };
@@ -33,7 +33,7 @@
 // refused surely did not run, so the key may begin again; but not by a late
 // duplicate of the accept that was refused: nobody waits for that any more.
 bool
-BeginsAgain(const StoredRecord& aStored, const Origin& aOrigin)
+MayRestart(const StoredRecord& aStored, const Origin& aOrigin)
 {
   const std::vector<Origin>& refused = aStored.mRefusedAccepts;
   return aStored.mRecord.mOutcome &&
@@ -42,10 +42,10 @@
          std::find(refused.begin(), refused.end(), aOrigin) == refused.end();
 }
 
-Judgement
-JudgeAccept(const StoredRecord& aStored,
-            const AcceptOperation& aAccept,
-            const Origin& aOrigin)
+RuleResult
+EvaluateAccept(const StoredRecord& aStored,
+               const AcceptOperation& aAccept,
+               const Origin& aOrigin)
 {
   if (aStored.mForgotten) {
     return Refuse(Verdict::kFinished);
@@ -56,11 +56,11 @@
   if (aStored.mAccepted == aOrigin) {
     return kRepeated;
   }
-  return BeginsAgain(aStored, aOrigin) ? kChange : Refuse(Verdict::kKnown);
+  return MayRestart(aStored, aOrigin) ? kChange : Refuse(Verdict::kKnown);
 }
 
-Judgement
-JudgeIntend(const RequestRecord& aRecord, const IntendOperation& aIntend)
+RuleResult
+EvaluateIntend(const RequestRecord& aRecord, const IntendOperation& aIntend)
 {
   if (aRecord.mOutcome) {
     return Refuse(Verdict::kFinished);
@@ -84,8 +84,8 @@
   return kChange;
 }
 
-Judgement
-JudgeVoid(const RequestRecord& aRecord, const VoidIntentOperation& aVoid)
+RuleResult
+EvaluateVoid(const RequestRecord& aRecord, const VoidIntentOperation& aVoid)
 {
   if (aRecord.mOutcome) {
     return Refuse(Verdict::kFinished);
@@ -101,8 +101,8 @@
   return current && !aRecord.mIntentVoid ? kChange : kRepeated;
 }
 
-Judgement
-JudgeFinish(const RequestRecord& aRecord, const FinishOperation& aFinish)
+RuleResult
+EvaluateFinish(const RequestRecord& aRecord, const FinishOperation& aFinish)
 {
   if (aRecord.mOutcome) {
     return *aRecord.mOutcome == aFinish.mOutcome ? kRepeated
@@ -118,8 +118,9 @@
   return kChange;
 }
 
-Judgement
-JudgeTakeOver(const RequestRecord& aRecord, const TakeOverOperation& aTakeOver)
+RuleResult
+EvaluateTakeOver(const RequestRecord& aRecord,
+                 const TakeOverOperation& aTakeOver)
 {
   if (aRecord.mOutcome) {
     return Refuse(Verdict::kFinished);
@@ -133,8 +134,8 @@
   return repeated ? kRepeated : Refuse(Verdict::kOldTurn);
 }
 
-Judgement
-JudgeCancel(const RequestRecord& aRecord)
+RuleResult
+EvaluateCancel(const RequestRecord& aRecord)
 {
   if (!aRecord.mOutcome) {
     return kChange;
@@ -144,8 +145,8 @@
            : Refuse(Verdict::kFinished);
 }
 
-Judgement
-JudgeForget(const StoredRecord& aStored, const ForgetOperation& aForget)
+RuleResult
+EvaluateForget(const StoredRecord& aStored, const ForgetOperation& aForget)
 {
   if (!aStored.mRecord.mOutcome) {
     return Refuse(Verdict::kKnown);
@@ -153,8 +154,8 @@
   return aForget.mExpired || !aStored.mForgotten ? kChange : kRepeated;
 }
 
-Judgement
-JudgeUnknown(const Operation& aOperation)
+RuleResult
+EvaluateUnknown(const Operation& aOperation)
 {
   if (std::holds_alternative<AcceptOperation>(aOperation)) {
     return kChange;
@@ -197,41 +198,41 @@
   return aRecord.mIntent.has_value() && !aRecord.mIntentVoid;
 }
 
-Judgement
-Judge(const StoredRecord* aRecord,
-      const Operation& aOperation,
-      const Origin& aOrigin)
+RuleResult
+EvaluateOperation(const StoredRecord* aRecord,
+                  const Operation& aOperation,
+                  const Origin& aOrigin)
 {
   if (aRecord == nullptr) {
-    return JudgeUnknown(aOperation);
+    return EvaluateUnknown(aOperation);
   }
   const RequestRecord& record = aRecord->mRecord;
   return std::visit(
     Overloaded{ [&](const AcceptOperation& aAccept) {
-                 return JudgeAccept(*aRecord, aAccept, aOrigin);
+                 return EvaluateAccept(*aRecord, aAccept, aOrigin);
                },
                 [&](const IntendOperation& aIntend) {
-                  return JudgeIntend(record, aIntend);
+                  return EvaluateIntend(record, aIntend);
                 },
                 [&](const VoidIntentOperation& aVoid) {
-                  return JudgeVoid(record, aVoid);
+                  return EvaluateVoid(record, aVoid);
                 },
                 [&](const FinishOperation& aFinish) {
-                  return JudgeFinish(record, aFinish);
+                  return EvaluateFinish(record, aFinish);
                 },
                 [&](const TakeOverOperation& aTakeOver) {
-                  return JudgeTakeOver(record, aTakeOver);
+                  return EvaluateTakeOver(record, aTakeOver);
                 },
-                [&](const CancelOperation&) { return JudgeCancel(record); },
+                [&](const CancelOperation&) { return EvaluateCancel(record); },
                 [&](const ForgetOperation& aForget) {
-                  return JudgeForget(*aRecord, aForget);
+                  return EvaluateForget(*aRecord, aForget);
                 },
                 [&](const ReadOperation&) { return kRepeated; } },
     aOperation);
 }
 
 void
-Change(RequestRecord& aRecord, const Operation& aOperation)
+ApplyChange(RequestRecord& aRecord, const Operation& aOperation)
 {
   std::visit(
     Overloaded{ [&](const IntendOperation& aIntend) {
--- a/src/ledger/RecordRules.h
+++ b/src/ledger/RecordRules.h
@@ -6,7 +6,7 @@
 namespace peridotspool::ledger {
 
 /** What an operation does to the record as it stands. */
-struct Judgement
+struct RuleResult
 {
   Verdict mVerdict = Verdict::kNoSuchRequest;
   /** True iff the record changes; a repeated operation is kDone without. */
@@ -19,17 +19,17 @@
 
 /**
  * Judges an operation by the rules of at most once. Pure: all replicas with
- * the same record come to the same judgement.
+ * the same record come to the same result.
  *
  * @param aRecord the record, or null if the key is not known
  */
-Judgement
-Judge(const StoredRecord* aRecord,
-      const Operation& aOperation,
-      const Origin& aOrigin);
+RuleResult
+EvaluateOperation(const StoredRecord* aRecord,
+                  const Operation& aOperation,
+                  const Origin& aOrigin);
 
-/** Carries out a change that Judge allowed, except accepts and removals. */
+/** Carries out a change that EvaluateOperation allowed, except accepts and removals. */
 void
-Change(RequestRecord& aRecord, const Operation& aOperation);
+ApplyChange(RequestRecord& aRecord, const Operation& aOperation);
 
 } // namespace peridotspool::ledger
--- a/src/ledger/RecordStore.cpp
+++ b/src/ledger/RecordStore.cpp
@@ -76,7 +76,7 @@
     DropTexts(stored.mRecord);
     stored.mForgotten = true;
   }
-  Change(stored.mRecord, aOperation);
+  ApplyChange(stored.mRecord, aOperation);
   if (!wasFinished && stored.mRecord.mOutcome) {
     stored.mAlarm = aNow + aOptions.mRetention;
   } else if (std::holds_alternative<TakeOverOperation>(aOperation)) {
@@ -100,7 +100,7 @@
   stored.mRecord.mExecutorTurn = AttemptNumber(1);
   const auto before = mRecords.find(aKey);
   if (before != mRecords.end()) {
-    BeginAgain(before->second, stored);
+    RestartRefused(before->second, stored);
   }
   stored.mAccepted = aOrigin;
   stored.mDeadline = aNow + aAccept.mRemaining;
@@ -109,7 +109,7 @@
 }
 
 void
-RecordStore::BeginAgain(const StoredRecord& aRefused, StoredRecord& aFresh)
+RecordStore::RestartRefused(const StoredRecord& aRefused, StoredRecord& aFresh)
 {
   Unlink(aRefused);
   // The next turn, so that whatever the refused one's executor still sends is
@@ -161,7 +161,7 @@
 }
 
 void
-RecordStore::Announced(const RequestKey& aKey)
+RecordStore::MarkAnnounced(const RequestKey& aKey)
 {
   const auto found = mRecords.find(aKey);
   if (found != mRecords.end()) {
--- a/src/ledger/RecordStore.h
+++ b/src/ledger/RecordStore.h
@@ -53,7 +53,7 @@
   /** Gives the record an intent of kLostAttempt. */
   void MarkMayHaveRun(const RequestKey& aKey);
   /** Notes that the present executor was announced as gone or leaving. */
-  void Announced(const RequestKey& aKey);
+  void MarkAnnounced(const RequestKey& aKey);
   /** Says when to look at an unfinished record again. */
   void SetAlarm(const RequestKey& aKey, TimePoint aAlarm);
 
@@ -64,7 +64,7 @@
               const LedgerOptions& aOptions,
               TimePoint aNow);
   /** Lets go of a refused record and carries on its turn and its accepts. */
-  void BeginAgain(const StoredRecord& aRefused, StoredRecord& aFresh);
+  void RestartRefused(const StoredRecord& aRefused, StoredRecord& aFresh);
   void Insert(StoredRecord aStored, const LedgerOptions& aOptions);
   void Unlink(const StoredRecord& aStored);
   void Link(StoredRecord& aStored, const LedgerOptions& aOptions);
--- a/src/ledger/Shard.cpp
+++ b/src/ledger/Shard.cpp
@@ -16,10 +16,10 @@
   aShard.mActivated = aShard.mInterval;
   aShard.mActivatedSet = aShard.mSet;
   aShard.mLater.clear();
-  aShard.mLaterIsWhole = true;
+  aShard.mLaterIsComplete = true;
   aShard.mVanished.reset();
   aShard.mFill.reset();
-  aShard.mEarly.clear();
+  aShard.mOutOfOrder.clear();
 }
 
 void
@@ -30,9 +30,9 @@
   aShard.mStore = RecordStore();
   aShard.mLog = ShardLog();
   aShard.mLater.clear();
-  aShard.mLaterIsWhole = true;
+  aShard.mLaterIsComplete = true;
   aShard.mFill.reset();
-  aShard.mEarly.clear();
+  aShard.mOutOfOrder.clear();
 }
 
 ShardReport
@@ -43,7 +43,7 @@
            .mActivatedSet = aShard.mActivatedSet,
            .mLast = aShard.mLog.Last(),
            .mLater = aShard.mLater,
-           .mLaterIsWhole = aShard.mLaterIsWhole,
+           .mLaterIsComplete = aShard.mLaterIsComplete,
            .mVanished = aShard.mVanished,
            .mLossRemaining =
              std::max(Duration::zero(), aShard.mLossUntil - aNow) };
--- a/src/ledger/Shard.h
+++ b/src/ledger/Shard.h
@@ -33,7 +33,7 @@
 
   /** Sets in charge after mActivated and before the present interval. */
   std::vector<PastSet> mLater;
-  bool mLaterIsWhole = true;
+  bool mLaterIsComplete = true;
   std::optional<PastSet> mVanished;
 
   /** Set while this entry, as primary, takes charge. */
@@ -44,7 +44,7 @@
   bool mServing = false;
   PrimaryQueue mQueue;
   /** Operations that came before an earlier one, as replica. */
-  std::map<SequenceNumber, ReplicateMessage> mEarly;
+  std::map<SequenceNumber, ReplicateMessage> mOutOfOrder;
   /** When to offer a copy that is no longer needed next. */
   TimePoint mNextLeftover;
 
--- a/src/ledger/PrimaryDuty.cpp
+++ b/src/ledger/ShardPrimary.cpp
@@ -1,4 +1,4 @@
-#include "ledger/PrimaryDuty.h"
+#include "ledger/ShardPrimary.h"
 
 #include <algorithm>
 #include <utility>
@@ -58,14 +58,14 @@
 
 } // namespace
 
-PrimaryDuty::PrimaryDuty(LedgerContext& aContext, AnswerSink aLocalAnswer)
+ShardPrimary::ShardPrimary(LedgerContext& aContext, AnswerSink aLocalAnswer)
   : mContext(aContext)
   , mLocalAnswer(std::move(aLocalAnswer))
 {
 }
 
 void
-PrimaryDuty::Propose(Shard& aShard, WaitingOperation aOperation)
+ShardPrimary::Propose(Shard& aShard, WaitingOperation aOperation)
 {
   PrimaryQueue& queue = aShard.mQueue;
   if (aShard.Primary() != mContext.mSelf ||
@@ -87,31 +87,32 @@
   // A silent replica must not make the primary hold ever more: beyond the
   // bound the asker's own resend brings the operation again.
   if (queue.mPending.size() < mContext.mOptions.mMaxPending) {
-    Append(aShard, aOperation, JudgeHere(aShard, aOperation));
+    Append(aShard, aOperation, EvaluateAtPrimary(aShard, aOperation));
   }
 }
 
-Judgement
-PrimaryDuty::JudgeHere(const Shard& aShard, const WaitingOperation& aOperation)
+RuleResult
+ShardPrimary::EvaluateAtPrimary(const Shard& aShard,
+                                const WaitingOperation& aOperation)
 {
   const StoredRecord* stored = aShard.mStore.Find(aOperation.mKey);
-  Judgement judgement =
-    Judge(stored, aOperation.mOperation, aOperation.mOrigin);
+  RuleResult result =
+    EvaluateOperation(stored, aOperation.mOperation, aOperation.mOrigin);
   const bool mayBeLost = mContext.mNow < aShard.mLossUntil;
   const auto* accept = std::get_if<AcceptOperation>(&aOperation.mOperation);
   if (stored != nullptr) {
     // A refused key may begin again, but the copy that says "refused" may be
     // older than a lost beginning, which may have run.
     const bool runsAgain =
-      accept != nullptr && judgement.mChanges && !accept->mTerms.mIdempotent;
-    return mayBeLost && runsAgain ? Judgement{ .mVerdict = Verdict::kLost }
-                                  : judgement;
+      accept != nullptr && result.mChanges && !accept->mTerms.mIdempotent;
+    return mayBeLost && runsAgain ? RuleResult{ .mVerdict = Verdict::kLost }
+                                  : result;
   }
   if (accept == nullptr) {
-    if (mayBeLost && judgement.mVerdict == Verdict::kNoSuchRequest) {
-      judgement.mVerdict = Verdict::kLost;
+    if (mayBeLost && result.mVerdict == Verdict::kNoSuchRequest) {
+      result.mVerdict = Verdict::kLost;
     }
-    return judgement;
+    return result;
   }
   // After a loss an unknown key may name a request that has run already. To
   // run one that may not run twice "as if new" would break at most once, so
@@ -123,13 +124,13 @@
     ++mContext.mCounters.mFull;
     return { .mVerdict = Verdict::kFull, .mChanges = false };
   }
-  return judgement;
+  return result;
 }
 
 bool
-PrimaryDuty::IsFull(const Shard& aShard,
-                    const RequestKey& aKey,
-                    const AcceptOperation& aAccept) const
+ShardPrimary::IsFull(const Shard& aShard,
+                     const RequestKey& aKey,
+                     const AcceptOperation& aAccept) const
 {
   std::uint64_t held = mContext.mHeldBytes;
   for (const MemberId member : aShard.mSet) {
@@ -148,19 +149,19 @@
 // answer rests on what is in the log before it, and a primary that was cut off
 // must not answer from a state that others have left behind.
 void
-PrimaryDuty::Append(Shard& aShard,
-                    const WaitingOperation& aOperation,
-                    const Judgement& aJudgement)
+ShardPrimary::Append(Shard& aShard,
+                     const WaitingOperation& aOperation,
+                     const RuleResult& aResult)
 {
   PendingOperation pending;
   pending.mSequence = aShard.mLog.Last().mSequence.Next();
   pending.mKey = aOperation.mKey;
   pending.mOrigin = aOperation.mOrigin;
-  pending.mAnswer.mVerdict = aJudgement.mVerdict;
+  pending.mAnswer.mVerdict = aResult.mVerdict;
   LogEntry entry{ .mVersion = { .mInterval = aShard.mInterval,
                                 .mSequence = pending.mSequence },
                   .mKey = std::nullopt };
-  if (aJudgement.mChanges) {
+  if (aResult.mChanges) {
     pending.mOperation = aOperation.mOperation;
     entry.mKey = aOperation.mKey;
     const HeldBytesGuard guard(mContext, aShard);
@@ -175,13 +176,13 @@
   }
   aShard.mLog.Append(std::move(entry), mContext.mOptions.mLogEntries);
   if (const StoredRecord* stored = aShard.mStore.Find(aOperation.mKey)) {
-    pending.mAnswer.mRecord = RecordForAnswer(
-      stored->mRecord, aOperation.mOperation, aJudgement.mVerdict);
+    pending.mAnswer.mRecord =
+      RecordForAnswer(stored->mRecord, aOperation.mOperation, aResult.mVerdict);
     pending.mDeadline = stored->mDeadline;
   }
   for (auto& [member, progress] : aShard.mQueue.mReplicas) {
     if (progress.mAcked.Next() == pending.mSequence) {
-      progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendAfter;
+      progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendInterval;
     }
     Replicate(aShard, member, pending);
   }
@@ -193,9 +194,9 @@
 }
 
 void
-PrimaryDuty::Replicate(const Shard& aShard,
-                       MemberId aTo,
-                       const PendingOperation& aPending)
+ShardPrimary::Replicate(const Shard& aShard,
+                        MemberId aTo,
+                        const PendingOperation& aPending)
 {
   mContext.Send(aTo,
                 ReplicateMessage{ .mShard = aShard.mId,
@@ -207,7 +208,7 @@
 }
 
 void
-PrimaryDuty::OnAck(MemberId aFrom, const AckMessage& aAck)
+ShardPrimary::OnAck(MemberId aFrom, const AckMessage& aAck)
 {
   mContext.mPeerBytes[aFrom] = aAck.mHeldBytes;
   Shard& shard = mContext.ShardAt(aAck.mShard);
@@ -221,13 +222,13 @@
     aAck.mLast > progress.mAcked && aAck.mLast <= shard.mLog.Last().mSequence;
   if (isProgress) {
     progress.mAcked = aAck.mLast;
-    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendAfter;
+    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendInterval;
     Commit(shard);
   }
 }
 
 void
-PrimaryDuty::Commit(Shard& aShard)
+ShardPrimary::Commit(Shard& aShard)
 {
   PrimaryQueue& queue = aShard.mQueue;
   const SequenceNumber last = aShard.mLog.Last().mSequence;
@@ -248,7 +249,7 @@
 }
 
 void
-PrimaryDuty::Answer(Shard& aShard, PendingOperation& aPending)
+ShardPrimary::Answer(Shard& aShard, PendingOperation& aPending)
 {
   ++mContext.mCounters.mCommitted;
   if (!aPending.mOrigin.mCall.IsSet()) {
@@ -270,7 +271,7 @@
 }
 
 void
-PrimaryDuty::Serve(Shard& aShard)
+ShardPrimary::Serve(Shard& aShard)
 {
   PrimaryQueue& queue = aShard.mQueue;
   std::vector<WaitingOperation> waiting = std::move(queue.mWaiting);
@@ -291,7 +292,7 @@
 }
 
 void
-PrimaryDuty::OnTick(Shard& aShard)
+ShardPrimary::OnTick(Shard& aShard)
 {
   if (aShard.mServing) {
     Resend(aShard);
@@ -301,7 +302,7 @@
 }
 
 void
-PrimaryDuty::Resend(Shard& aShard)
+ShardPrimary::Resend(Shard& aShard)
 {
   PrimaryQueue& queue = aShard.mQueue;
   if (queue.mPending.empty()) {
@@ -320,7 +321,7 @@
       Replicate(aShard, member, queue.mPending[next - first + i]);
     }
     mContext.mCounters.mResent += count;
-    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendAfter;
+    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendInterval;
   }
 }
 
--- a/src/ledger/PrimaryDuty.h
+++ b/src/ledger/ShardPrimary.h
@@ -7,10 +7,10 @@
 namespace peridotspool::ledger {
 
 /** Orders a shard's operations, replicates them and answers when committed. */
-class PrimaryDuty
+class ShardPrimary
 {
 public:
-  PrimaryDuty(LedgerContext& aContext, AnswerSink aLocalAnswer);
+  ShardPrimary(LedgerContext& aContext, AnswerSink aLocalAnswer);
 
   /** Takes an operation; while peering is under way it waits. */
   void Propose(Shard& aShard, WaitingOperation aOperation);
@@ -22,13 +22,14 @@
   void OnTick(Shard& aShard);
 
 private:
-  Judgement JudgeHere(const Shard& aShard, const WaitingOperation& aOperation);
+  RuleResult EvaluateAtPrimary(const Shard& aShard,
+                               const WaitingOperation& aOperation);
   bool IsFull(const Shard& aShard,
               const RequestKey& aKey,
               const AcceptOperation& aAccept) const;
   void Append(Shard& aShard,
               const WaitingOperation& aOperation,
-              const Judgement& aJudgement);
+              const RuleResult& aResult);
   void Replicate(const Shard& aShard,
                  MemberId aTo,
                  const PendingOperation& aPending);
--- a/src/ledger/ReplicaDuty.cpp
+++ b/src/ledger/ShardReplica.cpp
@@ -1,15 +1,15 @@
-#include "ledger/ReplicaDuty.h"
+#include "ledger/ShardReplica.h"
 
 namespace peridotspool::ledger {
 
 namespace {
 
 /** Most operations of one shard kept until an earlier one comes. */
-constexpr std::size_t kMaxEarly = 256;
+constexpr std::size_t kMaxOutOfOrder = 256;
 
 } // namespace
 
-ReplicaDuty::ReplicaDuty(LedgerContext& aContext)
+ShardReplica::ShardReplica(LedgerContext& aContext)
   : mContext(aContext)
 {
 }
@@ -18,7 +18,7 @@
 // must get no acknowledgement, or it would tell callers of commits that the
 // present primary knows nothing of.
 void
-ReplicaDuty::OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate)
+ShardReplica::OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate)
 {
   Shard& shard = mContext.ShardAt(aReplicate.mShard);
   if (aReplicate.mInterval < shard.mInterval) {
@@ -33,18 +33,19 @@
     return;
   }
   const SequenceNumber next = shard.mLog.Last().mSequence.Next();
-  if (aReplicate.mSequence > next && shard.mEarly.size() < kMaxEarly) {
-    shard.mEarly.emplace(aReplicate.mSequence, aReplicate);
+  if (aReplicate.mSequence > next &&
+      shard.mOutOfOrder.size() < kMaxOutOfOrder) {
+    shard.mOutOfOrder.emplace(aReplicate.mSequence, aReplicate);
   }
   if (aReplicate.mSequence == next) {
     Apply(shard, aReplicate);
-    auto early = shard.mEarly.begin();
-    while (early != shard.mEarly.end() &&
+    auto early = shard.mOutOfOrder.begin();
+    while (early != shard.mOutOfOrder.end() &&
            early->first <= shard.mLog.Last().mSequence.Next()) {
       if (early->first == shard.mLog.Last().mSequence.Next()) {
         Apply(shard, early->second);
       }
-      early = shard.mEarly.erase(early);
+      early = shard.mOutOfOrder.erase(early);
     }
   }
   mContext.Send(aFrom,
@@ -55,7 +56,7 @@
 }
 
 void
-ReplicaDuty::Apply(Shard& aShard, const ReplicateMessage& aReplicate)
+ShardReplica::Apply(Shard& aShard, const ReplicateMessage& aReplicate)
 {
   LogEntry entry{ .mVersion = { .mInterval = aReplicate.mInterval,
                                 .mSequence = aReplicate.mSequence },
--- a/src/ledger/ReplicaDuty.h
+++ b/src/ledger/ShardReplica.h
@@ -5,10 +5,10 @@
 namespace peridotspool::ledger {
 
 /** Applies what a shard's primary replicates, in order, and acknowledges it. */
-class ReplicaDuty
+class ShardReplica
 {
 public:
-  explicit ReplicaDuty(LedgerContext& aContext);
+  explicit ShardReplica(LedgerContext& aContext);
 
   void OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate);
 
--- a/test/ledger/ChaosDriver.cpp
+++ b/test/ledger/ChaosDriver.cpp
@@ -21,8 +21,8 @@
 ChaosDriver::Options()
 {
   LedgerOptions options;
-  options.mResendAfter = milliseconds(30);
-  options.mLeftoverRepeat = milliseconds(100);
+  options.mResendInterval = milliseconds(30);
+  options.mLeftoverInterval = milliseconds(100);
   options.mLogEntries = 8;
   options.mChunkBytes = 600;
   return options;
--- a/test/ledger/DifferentialTest.cpp
+++ b/test/ledger/DifferentialTest.cpp
@@ -196,7 +196,7 @@
                  CommitRule aRule)
 {
   LedgerOptions options = ChaosDriver::Options();
-  options.mGiveUpAfter = seconds(3600);
+  options.mCallTimeout = seconds(3600);
   options.mCommitRule = aRule;
   ChaosDriver driver(aSeed, options);
   NaiveLedger naive;
--- a/test/ledger/PeeringChoiceTest.cpp
+++ b/test/ledger/PeeringChoiceTest.cpp
@@ -25,7 +25,7 @@
   report.mLast = { .mInterval = EpochNumber(aActivated),
                    .mSequence = SequenceNumber(aSequence) };
   report.mLater = std::move(aLater);
-  report.mLaterIsWhole = true;
+  report.mLaterIsComplete = true;
   return report;
 }
 
@@ -52,7 +52,7 @@
                                { kC, Holds(5, 9, { kB, kC }) } });
   CHECK(choice.mReady);
   CHECK(choice.mSource == kC);
-  CHECK_FALSE(choice.mMayLack);
+  CHECK_FALSE(choice.mMayMissCommits);
 }
 
 TEST_CASE("WaitsForAllOfTheNewSet")
@@ -72,17 +72,17 @@
   const auto choice =
     Choose({ kA }, { kA, kD, kE }, { { kA, old }, { kD, ShardReport() } });
   CHECK(choice.mReady);
-  CHECK_FALSE(choice.mMayLack);
+  CHECK_FALSE(choice.mMayMissCommits);
   // Both are gone for good: what they committed, if anything, is lost.
   const auto gone = Choose({ kA }, { kA }, { { kA, old } });
   CHECK(gone.mReady);
-  CHECK(gone.mMayLack);
+  CHECK(gone.mMayMissCommits);
 }
 
 TEST_CASE("AsksEverybodyWhenThePastIsNotKnownWhole")
 {
   ShardReport gap = Holds(3, 9, { kA, kB });
-  gap.mLaterIsWhole = false;
+  gap.mLaterIsComplete = false;
   CHECK_FALSE(Choose({ kA }, { kA, kC }, { { kA, gap } }).mReady);
   CHECK(
     Choose({ kA }, { kA, kC }, { { kA, gap }, { kC, ShardReport() } }).mReady);
@@ -95,7 +95,7 @@
     { kA }, { kA, kB }, { { kA, ShardReport() }, { kB, ShardReport() } });
   CHECK(choice.mReady);
   CHECK_FALSE(choice.mSource.IsSet());
-  CHECK_FALSE(choice.mMayLack);
+  CHECK_FALSE(choice.mMayMissCommits);
 }
 
 TEST_CASE("ReportsASetThatVanishedWhole")
@@ -105,7 +105,7 @@
     PastSet{ .mEpoch = EpochNumber(2), .mMembers = { kD, kE } };
   const auto choice = Choose({ kA }, { kA }, { { kA, witness } });
   CHECK(choice.mReady);
-  CHECK(choice.mMayLack);
+  CHECK(choice.mMayMissCommits);
 }
 
 TEST_CASE("PrimaryPlusOneNeedsThePrimaryOrAllOthers")
@@ -118,7 +118,7 @@
     Choose({ kB }, { kB, kC }, { { kB, copy }, { kC, copy } }, rule).mReady);
   const auto alone = Choose({ kB }, { kB }, { { kB, copy } }, rule);
   CHECK(alone.mReady);
-  CHECK(alone.mMayLack);
+  CHECK(alone.mMayMissCommits);
 }
 
 } // namespace peridotspool::ledger
--- a/test/ledger/ReclaimTest.cpp
+++ b/test/ledger/ReclaimTest.cpp
@@ -289,7 +289,7 @@
     parted.BringBackStray();
     parted.mCluster.Run(Duration(500 * step));
     const bool filled =
-      parted.mCluster.CountersOf(parted.mStray).mWholeFills > 0;
+      parted.mCluster.CountersOf(parted.mStray).mFullFills > 0;
     parted.LoseOthers();
     parted.mCluster.Run(seconds(2));
     CHECK(parted.Read(0) == Verdict::kDone);
--- a/test/ledger/RefusedAgainTest.cpp
+++ b/test/ledger/RefusedAgainTest.cpp
@@ -64,9 +64,10 @@
   stored.mRecord.mOutcome = Outcome{ .mKind = OutcomeKind::kRefused };
   stored.mAccepted = second;
   stored.mRefusedAccepts = { first };
-  CHECK_FALSE(Judge(&stored, accept, first).mChanges);
-  CHECK_FALSE(Judge(&stored, accept, second).mChanges);
-  CHECK(Judge(&stored, accept, Origin{ MemberId(2), CallId(1) }).mChanges);
+  CHECK_FALSE(EvaluateOperation(&stored, accept, first).mChanges);
+  CHECK_FALSE(EvaluateOperation(&stored, accept, second).mChanges);
+  CHECK(EvaluateOperation(&stored, accept, Origin{ MemberId(2), CallId(1) })
+          .mChanges);
 }
 
 TEST_CASE("AnsweredKeyNeverBeginsAgain")
