--- a/include/peridotspool/ledger/CommitRule.h
+++ b/include/peridotspool/ledger/CommitRule.h
@@ -4,15 +4,22 @@
 
 namespace peridotspool::ledger {
 
-/** When an operation counts as committed. All entries use the same rule. */
+/**
+ * Defines when an operation counts as committed. All entries use the same rule.
+ */
 enum class CommitRule
 {
   /**
-   * All replicas of the epoch's set hold it: any survivor suffices, but a
-   * silent replica stalls the shard until a newer epoch leaves it out.
+   * All replicas of the epoch's set hold the operation. Any surviving replica
+   * suffices, but an unresponsive replica stalls the shard until a newer epoch
+   * excludes it.
    */
   kAllReplicas,
-  /** The primary and one more hold it: no stall, but a window of loss. */
+  /**
+   * The primary and one other replica hold the operation. An unresponsive
+   * replica does not stall the shard, but losing these two loses committed
+   * operations.
+   */
   kPrimaryPlusOne,
 };
 BOOST_DESCRIBE_ENUM(CommitRule, kAllReplicas, kPrimaryPlusOne)
--- a/include/peridotspool/ledger/Effect.h
+++ b/include/peridotspool/ledger/Effect.h
@@ -8,14 +8,14 @@
 
 namespace peridotspool::ledger {
 
-/** Send a message to another entry; it may be lost. */
+/** Sends a message to another entry. The message may be lost. */
 struct SendEffect
 {
   MemberId mTo;
   Message mMessage;
 };
 
-/** The answer to a ProposeEvent; exactly one for each. */
+/** The answer to a ProposeEvent. Each ProposeEvent gets exactly one. */
 struct AnsweredEffect
 {
   CallId mCall;
@@ -24,13 +24,14 @@
 };
 
 /**
- * This entry is the primary of an unfinished request whose executor has left
- * the member list (or is leaving); the request module takes it over.
+ * Reports an unfinished request, held by this entry as primary, whose executor
+ * is draining, has left the member list or is past its deadline. The request
+ * module takes the request over.
  */
 struct OrphanedEffect
 {
   RequestRecord mRecord;
-  /** Time left to the deadline. */
+  /** Time left until the deadline. */
   Duration mRemaining{ 0 };
 };
 
--- a/include/peridotspool/ledger/Event.h
+++ b/include/peridotspool/ledger/Event.h
@@ -8,29 +8,29 @@
 
 namespace peridotspool::ledger {
 
-/** The control log made a newer member list. */
+/** The control log has published a newer member list. */
 struct EpochChangedEvent
 {
   membership::EpochMap mMap;
 };
 
-/** A message came from another entry's ledger. */
+/** A message has arrived from the ledger of another entry. */
 struct MessageEvent
 {
   MemberId mFrom;
   Message mMessage;
 };
 
-/** This entry's request module asks for an operation. */
+/** The request module of this entry requests an operation. */
 struct ProposeEvent
 {
-  /** The asker's handle, returned in AnsweredEffect. */
+  /** Identifies the call to the request module; returned in AnsweredEffect. */
   CallId mCall;
   RequestKey mKey;
   Operation mOperation;
 };
 
-/** Time has passed; sent at least every kTickPeriod. */
+/** Time has passed. Sent at least once every kTickPeriod. */
 struct TickEvent
 {};
 
--- a/include/peridotspool/ledger/Ledger.h
+++ b/include/peridotspool/ledger/Ledger.h
@@ -13,11 +13,11 @@
 class LedgerState;
 
 /**
- * The request ledger as one entry sees it: the shards that it holds as primary
- * or replica, and the operations that it has under way at other primaries.
+ * One entry's part of the request ledger: the shards that it holds as primary
+ * or replica, and its own operations that are pending at other primaries.
  *
- * It is a pure step: it owns no clock, thread, socket or file, and the same
- * events at the same times give the same effects. Not thread-safe.
+ * A deterministic state machine: it owns no clock, thread, socket or file, and
+ * the same events at the same times produce the same effects. Not thread-safe.
  */
 class Ledger
 {
@@ -27,12 +27,15 @@
   Ledger(Ledger&&) noexcept;
   Ledger& operator=(Ledger&&) noexcept;
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Processes one event and returns the effects that the host must carry out,
+   * in order.
+   */
   Effects Step(const Event& aEvent, TimePoint aNow);
 
   /**
-   * Returns what was seen and what is held. A draining entry has handed
-   * everything over when mHeldShards is zero.
+   * Returns the counters. A draining entry has completed its handover when
+   * mHeldShards is zero.
    */
   LedgerCounters Counters() const;
 
--- a/include/peridotspool/ledger/LedgerOptions.h
+++ b/include/peridotspool/ledger/LedgerOptions.h
@@ -7,39 +7,59 @@
 
 namespace peridotspool::ledger {
 
-/** Bounds and times of the ledger. */
+/** Limits and timeouts of the ledger. */
 struct LedgerOptions
 {
-  /** How many entry instances hold each shard. */
+  /** Number of entry instances that hold each shard. */
   std::uint32_t mReplicas = 3;
   CommitRule mCommitRule = CommitRule::kAllReplicas;
   /**
-   * Bytes of records over all shards of an entry, beyond which its shards take
-   * no new requests. What other primaries place on a replica between two of its
-   * acknowledgements comes on top, and answers larger than mAnswerReserve.
+   * Bytes of records over all shards of an entry above which its shards accept
+   * no new requests. Usage may exceed it by what other primaries place on a
+   * replica between two of its acknowledgements, and by answers larger than
+   * mAnswerReserve.
    */
   std::uint64_t mMaxBytes = 256ULL << 20;
-  /** Bytes set aside for the answer of each unfinished request. */
+  /** Bytes reserved for the answer of each unfinished request. */
   std::uint64_t mAnswerReserve = 8ULL << 10;
-  /** How long a finished request's answer is kept for its caller. */
+  /** How long the answer of a finished request is retained for its caller. */
   Duration mRetention = std::chrono::minutes(10);
-  /** After this long without an answer a message is sent again. */
+  /** How long to wait for a reply before a message is resent. */
   Duration mResendInterval = std::chrono::milliseconds(150);
-  /** An operation without an answer for this long ends as kNoAnswer. */
+  /**
+   * How long to wait for the answer to an operation before the call ends as
+   * kNoAnswer.
+   */
   Duration mCallTimeout = std::chrono::seconds(10);
-  /** How long past its deadline a request may be unfinished. */
+  /**
+   * How long a request may remain unfinished after its deadline before the
+   * primary announces it for takeover.
+   */
   Duration mDeadlineGrace = std::chrono::seconds(1);
-  /** How often an orphaned request is announced until it is taken over. */
+  /**
+   * Interval at which an orphaned request is announced until it is taken over.
+   */
   Duration mOrphanInterval = std::chrono::seconds(1);
-  /** How often a copy that is no longer needed asks to be released. */
+  /**
+   * Interval at which an entry reports a copy outside the replica set to the
+   * primary, which can then release it.
+   */
   Duration mLeftoverInterval = std::chrono::seconds(1);
-  /** How long after a loss unknown keys may name lost requests. */
+  /**
+   * How long after a possible loss an unknown key is treated as a request that
+   * may have been lost.
+   */
   Duration mLossWindow = std::chrono::minutes(30);
-  /** Changes that each shard remembers, for filling a copy by delta. */
+  /**
+   * Log entries that each shard retains for filling a copy with changes only.
+   */
   std::uint32_t mLogEntries = 64;
-  /** Most bytes of records in one message that fills a copy. */
+  /** Target size in bytes of the records in one message that fills a copy. */
   std::uint64_t mChunkBytes = 256ULL << 10;
-  /** Most operations of one shard that wait for replicas or for peering. */
+  /**
+   * Maximum number of operations of one shard that wait for replicas or for
+   * peering.
+   */
   std::uint32_t mMaxPending = 4096;
 };
 
--- a/include/peridotspool/ledger/LogVersion.h
+++ b/include/peridotspool/ledger/LogVersion.h
@@ -8,8 +8,9 @@
 namespace peridotspool::ledger {
 
 /**
- * Names one entry of a shard's log. An interval's primary gives each sequence
- * number to one operation only, so equal versions mean equal histories.
+ * Identifies one entry of a shard's log. The primary of an interval assigns
+ * each sequence number to one operation only, so equal versions mean equal
+ * histories.
  */
 struct LogVersion
 {
--- a/include/peridotspool/ledger/Message.h
+++ b/include/peridotspool/ledger/Message.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::ledger {
 
-/** An entry asks a shard's primary for an operation. */
+/** Requests an operation from a shard's primary. */
 struct ProposeMessage
 {
   EpochNumber mEpoch;
@@ -22,7 +22,7 @@
 };
 BOOST_DESCRIBE_STRUCT(ProposeMessage, (), (mEpoch, mCall, mKey, mOperation))
 
-/** The primary's answer. */
+/** The primary's answer to a ProposeMessage. */
 struct AnswerMessage
 {
   CallId mCall;
@@ -33,7 +33,10 @@
 };
 BOOST_DESCRIBE_STRUCT(AnswerMessage, (), (mCall, mKey, mAnswer))
 
-/** The primary has given an operation its place in the shard's log. */
+/**
+ * Sends an operation, with its position in the shard's log, from the primary to
+ * a replica.
+ */
 struct ReplicateMessage
 {
   ShardId mShard;
@@ -49,13 +52,13 @@
                       (),
                       (mShard, mInterval, mSequence, mKey, mOperation, mOrigin))
 
-/** A replica holds all operations up to and with mLast. */
+/** Confirms that a replica holds all operations up to and including mLast. */
 struct AckMessage
 {
   ShardId mShard;
   EpochNumber mInterval;
   SequenceNumber mLast;
-  /** Bytes that the replica holds over all its shards. */
+  /** Bytes of records that the replica holds over all its shards. */
   std::uint64_t mHeldBytes = 0;
 
   auto operator<=>(const AckMessage&) const = default;
--- a/include/peridotspool/ledger/Operation.h
+++ b/include/peridotspool/ledger/Operation.h
@@ -6,15 +6,21 @@
 
 namespace peridotspool::ledger {
 
-/** Accepts a request; on a known key it changes nothing and returns it. */
+/**
+ * Accepts a request. If the key is known, the operation changes nothing and
+ * returns the record, except that a refused request may be accepted again.
+ */
 struct AcceptOperation
 {
   RequestTerms mTerms;
-  /** The entry that will run it first. */
+  /** The first executor of the request. */
   MemberId mExecutor;
-  /** How long from now until its deadline. */
+  /** Time left until the request's deadline. */
   Duration mRemaining{ 0 };
-  /** True iff the system made the key for this call, so that it is new. */
+  /**
+   * True iff the system generated the key for this call, so the key cannot have
+   * been used before.
+   */
   bool mKeyIsNew = false;
 
   auto operator<=>(const AcceptOperation&) const = default;
@@ -24,8 +30,9 @@
                       (mTerms, mExecutor, mRemaining, mKeyIsNew))
 
 /**
- * Takes the right to send the request to an upstream. Attempt numbers rise from
- * intent to intent, also over a takeover: kOldTurn otherwise.
+ * Acquires the right to send the request to an upstream. Attempt numbers must
+ * increase from intent to intent, also across a takeover; otherwise the verdict
+ * is kOldTurn.
  */
 struct IntendOperation
 {
@@ -37,8 +44,9 @@
 BOOST_DESCRIBE_STRUCT(IntendOperation, (), (mExecutorTurn, mIntent))
 
 /**
- * Says that the intent of `attempt` surely did not run. One that was never
- * committed may be named too (its answer got lost); it is then turned down.
+ * Declares that the intent with number mAttempt certainly did not run. The
+ * intent may be one that was never committed, because its answer may have been
+ * lost; if it arrives later, it is rejected.
  */
 struct VoidIntentOperation
 {
@@ -50,8 +58,9 @@
 BOOST_DESCRIBE_STRUCT(VoidIntentOperation, (), (mExecutorTurn, mAttempt))
 
 /**
- * Ends the request; refused when an outcome stands or the turn is old, and with
- * kMayHaveRun when it says kRefused ("did not run") against a standing intent.
+ * Ends the request. Rejected if the request already has an outcome or the
+ * executor turn is old, and rejected with kMayHaveRun if the outcome is
+ * kRefused ("did not run") while an intent stands.
  */
 struct FinishOperation
 {
@@ -62,10 +71,13 @@
 };
 BOOST_DESCRIBE_STRUCT(FinishOperation, (), (mExecutorTurn, mOutcome))
 
-/** Makes another entry the executor, with the next turn. */
+/** Makes another entry the executor and increments the executor turn. */
 struct TakeOverOperation
 {
-  /** The turn that the proposer saw; refused if another has begun. */
+  /**
+   * The turn that the proposer read; the operation is rejected if the turn has
+   * changed since.
+   */
   AttemptNumber mExecutorTurn;
   MemberId mExecutor;
 
@@ -74,8 +86,9 @@
 BOOST_DESCRIBE_STRUCT(TakeOverOperation, (), (mExecutorTurn, mExecutor))
 
 /**
- * The caller withdraws the request. The outcome's reason is
- * "cancelled-may-have-run" iff an intent stood, else "cancelled-did-not-run".
+ * Cancels the request for its caller. The outcome's reason is
+ * "cancelled-may-have-run" if an intent stands, and "cancelled-did-not-run"
+ * otherwise.
  */
 struct CancelOperation
 {
@@ -84,20 +97,25 @@
 BOOST_DESCRIBE_STRUCT(CancelOperation, (), ())
 
 /**
- * Drops a finished request's kept answer. An acknowledged one leaves a marker
- * without texts until its retention ends, so that a late duplicate of the
- * request is not run as new; an unfinished one is left alone (kKnown).
+ * Deletes the stored answer of a finished request. A marker without texts
+ * remains until the retention ends, so that a late duplicate of the request
+ * does not run as a new one. An unfinished request does not change (kKnown).
  */
 struct ForgetOperation
 {
-  /** Set by the primary only: the retention is over, drop the marker too. */
+  /**
+   * Set only by the primary when the retention has ended: the marker is deleted
+   * too.
+   */
   bool mExpired = false;
 
   auto operator<=>(const ForgetOperation&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(ForgetOperation, (), (mExpired))
 
-/** Reads the record under the shard's current epoch; changes nothing. */
+/**
+ * Reads the record, confirmed under the shard's current epoch. Changes nothing.
+ */
 struct ReadOperation
 {
   auto operator<=>(const ReadOperation&) const = default;
@@ -113,29 +131,33 @@
                                ForgetOperation,
                                ReadOperation>;
 
-/** How the ledger answered an operation. */
+/** The result of an operation. */
 enum class Verdict
 {
   /** Committed (or, for a read, confirmed). */
   kDone,
-  /** An accept of a known key: nothing changed, the record is returned. */
+  /** An accept of a known key. Nothing changes and the record is returned. */
   kKnown,
   kNoSuchRequest,
-  /** Another executor has taken over. */
+  /**
+   * The executor turn or the attempt number is out of date, for example because
+   * another executor has taken over.
+   */
   kOldTurn,
-  /** An outcome stands already; the record holds it. */
+  /** The request already has an outcome, which the record holds. */
   kFinished,
-  /** A request that may not run twice has an intent that may have run. */
+  /** The request is not idempotent and has an intent that may have run. */
   kMayHaveRun,
-  /** The shard holds all that it may; nothing was accepted. */
+  /** The memory limit is reached; nothing was accepted. */
   kFull,
-  /** The key is known with other terms. */
+  /** The key is known, but with different request terms. */
   kOtherTerms,
-  /** No answer in time; the operation may or may not take effect. */
+  /** No answer arrived in time; the operation may or may not take effect. */
   kNoAnswer,
   /**
-   * Nothing is known of the key, and records of its shard may have been lost
-   * with all of their replicas: the request may have been accepted and run.
+   * The key is unknown, or is known only as refused, and records of its shard
+   * may have been lost with all of their replicas: the request may have been
+   * accepted and run.
    */
   kLost,
 };
@@ -152,15 +174,16 @@
                     kLost)
 
 /**
- * The ledger's answer to an operation, with the record as committed. A kDone to
- * anything but an accept, a takeover or a read leaves the record's texts (the
- * request's and the outcome's body) empty: the asker has them.
+ * The answer to an operation, with the record as committed. For kDone, the
+ * texts of the record that the requester already has are empty: the request's
+ * body except after a takeover or a read, and the outcome's body except after
+ * an accept, a takeover or a read.
  */
 struct OperationAnswer
 {
   Verdict mVerdict = Verdict::kNoAnswer;
   std::optional<RequestRecord> mRecord;
-  /** Time left to the request's deadline when the answer was made. */
+  /** Time left until the request's deadline when the answer was created. */
   Duration mRemaining{ 0 };
 
   auto operator<=>(const OperationAnswer&) const = default;
--- a/include/peridotspool/ledger/Origin.h
+++ b/include/peridotspool/ledger/Origin.h
@@ -7,7 +7,10 @@
 
 namespace peridotspool::ledger {
 
-/** Who asked for an operation; a resent one carries the same origin. */
+/**
+ * Identifies the call that requested an operation. A resent operation has the
+ * same origin.
+ */
 struct Origin
 {
   MemberId mMember;
--- a/include/peridotspool/ledger/PeeringMessage.h
+++ b/include/peridotspool/ledger/PeeringMessage.h
@@ -9,18 +9,24 @@
 
 namespace peridotspool::ledger {
 
-/** A shard under one interval: epochs in which its replica set stays alike. */
+/**
+ * A shard in one interval. An interval is a run of epochs in which the replica
+ * set of the shard does not change.
+ */
 struct ShardInterval
 {
   ShardId mShard;
-  /** The epoch that names the interval: the one it was peered in. */
+  /** The epoch in which the interval was peered; it identifies the interval. */
   EpochNumber mInterval;
 
   auto operator<=>(const ShardInterval&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(ShardInterval, (), (mShard, mInterval))
 
-/** A primary asks what a member holds; the member then refuses older ones. */
+/**
+ * A primary's query for the copies that a member holds. The member then rejects
+ * messages of older intervals.
+ */
 struct QueryMessage
 {
   std::vector<ShardInterval> mShards;
@@ -29,10 +35,10 @@
 };
 BOOST_DESCRIBE_STRUCT(QueryMessage, (), (mShards))
 
-/** A replica set that was in charge of a shard and no longer is. */
+/** A former replica set of a shard. */
 struct PastSet
 {
-  /** An epoch in which it was in charge. */
+  /** An epoch in which the set was responsible for the shard. */
   EpochNumber mEpoch;
   /** The primary comes first. */
   std::vector<MemberId> mMembers;
@@ -41,22 +47,33 @@
 };
 BOOST_DESCRIBE_STRUCT(PastSet, (), (mEpoch, mMembers))
 
-/** What one member holds of one shard, and knows of its past. */
+/**
+ * One member's copy of a shard and its knowledge of the shard's earlier replica
+ * sets.
+ */
 struct ShardReport
 {
   ShardId mShard;
-  /** The interval that its copy was last activated in; unset if never. */
+  /**
+   * The interval in which the member's copy was last activated; unset if never.
+   */
   EpochNumber mActivated;
   /** The replica set of that interval. */
   std::vector<MemberId> mActivatedSet;
   LogVersion mLast;
-  /** Sets in charge between the activated interval and the present one. */
+  /** Replica sets between the activated interval and the present one. */
   std::vector<PastSet> mLater;
-  /** True iff mLater is known to lack none. */
+  /** True iff mLater is known to be complete. */
   bool mLaterIsComplete = false;
-  /** The last set that the member saw leave the member list as a whole. */
+  /**
+   * The last replica set all of whose members this member saw leave the member
+   * list.
+   */
   std::optional<PastSet> mVanished;
-  /** For how long unknown keys may still name lost requests. */
+  /**
+   * How long an unknown key must still be treated as a request that may have
+   * been lost.
+   */
   Duration mLossRemaining{ 0 };
 
   auto operator<=>(const ShardReport&) const = default;
@@ -72,10 +89,13 @@
                        mVanished,
                        mLossRemaining))
 
-/** Answers a query, or comes unasked after an epoch change. */
+/**
+ * The reply to a query; also sent without a query after an epoch change and
+ * while a copy waits to be released.
+ */
 struct ReportMessage
 {
-  /** The member's epoch when it reported. */
+  /** The member's epoch when it sent the report. */
   EpochNumber mEpoch;
   std::vector<ShardReport> mReports;
 
@@ -83,7 +103,10 @@
 };
 BOOST_DESCRIBE_STRUCT(ReportMessage, (), (mEpoch, mReports))
 
-/** What a replica must hold before it counts in the new interval. */
+/**
+ * The log version that a replica must hold before it counts in the new
+ * interval.
+ */
 struct ShardActivation
 {
   ShardId mShard;
@@ -97,7 +120,10 @@
                       (),
                       (mShard, mInterval, mTarget, mLossRemaining))
 
-/** A primary asks a replica to fill its copy and to record the activation. */
+/**
+ * A primary's request to a replica to fill its copy and to record the
+ * activation.
+ */
 struct ActivateMessage
 {
   std::vector<ShardActivation> mShards;
@@ -106,7 +132,7 @@
 };
 BOOST_DESCRIBE_STRUCT(ActivateMessage, (), (mShards))
 
-/** A replica has recorded the activation of these. */
+/** Confirms that a replica has recorded the activation of these shards. */
 struct ActivatedMessage
 {
   std::vector<ShardInterval> mShards;
@@ -115,7 +141,9 @@
 };
 BOOST_DESCRIBE_STRUCT(ActivatedMessage, (), (mShards))
 
-/** The sender has moved on to a later interval of this shard. */
+/**
+ * Rejects a message because the sender is in a later interval of this shard.
+ */
 struct RefusedMessage
 {
   ShardInterval mShard;
@@ -124,7 +152,10 @@
 };
 BOOST_DESCRIBE_STRUCT(RefusedMessage, (), (mShard))
 
-/** Copies outside the replica set that are no longer needed. */
+/**
+ * Permits a member to drop copies outside the replica set that are no longer
+ * needed.
+ */
 struct ReleaseMessage
 {
   std::vector<ShardInterval> mShards;
--- a/include/peridotspool/ledger/Placement.h
+++ b/include/peridotspool/ledger/Placement.h
@@ -9,9 +9,9 @@
 namespace peridotspool::ledger {
 
 /**
- * Which entries hold which shard in one epoch. Rendezvous hashing: each process
- * finds the same sets from the same member list, and one member's coming or
- * going changes only the sets that it enters or leaves.
+ * Assigns the shards of one epoch to entries by rendezvous hashing: each
+ * process computes the same replica sets from the same member list, and a
+ * member that joins or leaves changes only the sets that it enters or leaves.
  */
 class Placement
 {
@@ -20,12 +20,12 @@
   Placement(const membership::EpochMap& aMap, std::uint32_t aReplicas);
 
   /**
-   * Returns the shard's replicas, the primary first, no two in one failure
-   * domain. Draining members are left out unless there are no others. Empty
-   * without members.
+   * Returns the shard's replicas, the primary first, at most one for each
+   * failure domain. Draining members are excluded unless there are no others.
+   * Empty if there are no members.
    */
   const std::vector<MemberId>& ReplicasOf(ShardId aShard) const;
-  /** Returns the primary, or an unset id without members. */
+  /** Returns the primary, or an unset id if there are no members. */
   MemberId PrimaryOf(ShardId aShard) const;
 
 private:
--- a/include/peridotspool/ledger/RequestRecord.h
+++ b/include/peridotspool/ledger/RequestRecord.h
@@ -13,15 +13,15 @@
 
 namespace peridotspool::ledger {
 
-/** What a caller asked for; fixed from acceptance on. */
+/** The request as submitted by the caller. Immutable after acceptance. */
 struct RequestTerms
 {
   ServiceName mService;
-  /** The JSON body as the caller sent it. */
+  /** The JSON body as sent by the caller. */
   std::string mBody;
-  /** May the request run more than once? */
+  /** Whether the request may run more than once. */
   bool mIdempotent = false;
-  /** Lower is more urgent; from the settings' priorities. */
+  /** Priority from the settings; lower values are more urgent. */
   std::int32_t mPriority = 0;
 
   auto operator<=>(const RequestTerms&) const = default;
@@ -32,15 +32,18 @@
 
 /**
  * The right to send a request to one upstream. For a request that is not
- * idempotent it is committed before the first byte is sent, and no second one
- * is committed unless the first is known not to have run.
+ * idempotent, the intent is committed before the first byte is sent, and a
+ * second intent is committed only if the first is known not to have run.
  */
 struct DispatchIntent
 {
   AttemptNumber mAttempt;
   UpstreamName mUpstream;
   Incarnation mIncarnation;
-  /** Pieces that were given along as a prefix; 0 from the beginning. */
+  /**
+   * Number of answer pieces that were sent along as a prefix; 0 if the answer
+   * starts from the beginning.
+   */
   std::uint64_t mFromIndex = 0;
 
   auto operator<=>(const DispatchIntent&) const = default;
@@ -50,22 +53,24 @@
                       (mAttempt, mUpstream, mIncarnation, mFromIndex))
 
 /**
- * Stands for an intent that may have been committed and lost with all replicas
- * that held it: above any real attempt, and never voided.
+ * Represents an intent that may have been committed and lost with all replicas
+ * that held it. Greater than any real attempt number, and never voided.
  */
 inline constexpr AttemptNumber kLostAttempt(1ULL << 32);
 
 enum class OutcomeKind
 {
-  /** The upstream's whole answer. */
+  /** The upstream answered completely. */
   kAnswered,
-  /** Given up, and the request surely did not run. */
+  /** The request was abandoned and certainly did not run. */
   kRefused,
-  /** Given up after some of an idempotent request may have run. */
+  /** The request is idempotent, may have run in part, and was abandoned. */
   kFailed,
-  /** A request that may not run twice was sent, and its fate is not known. */
+  /**
+   * The request is not idempotent and was sent; whether it ran is not known.
+   */
   kUnknown,
-  /** The caller withdrew it. */
+  /** The caller cancelled the request. */
   kCancelled,
 };
 BOOST_DESCRIBE_ENUM(OutcomeKind,
@@ -75,7 +80,10 @@
                     kUnknown,
                     kCancelled)
 
-/** The final answer to a request; the first one committed stays. */
+/**
+ * The final answer to a request. The first committed outcome is permanent,
+ * except that a refused request may be accepted again.
+ */
 struct Outcome
 {
   OutcomeKind mKind = OutcomeKind::kRefused;
@@ -83,13 +91,13 @@
   std::int32_t mStatus = 0;
   /** A machine-readable reason, empty for kAnswered. */
   std::string mReason;
-  /** The whole answer text, or a sentence for people. */
+  /** The complete answer text, or a human-readable error message. */
   std::string mBody;
-  /** When to come back; zero where coming back makes no sense. */
+  /** When the caller should retry; zero if a retry is pointless. */
   Duration mRetryAfter{ 0 };
   AttemptNumber mAttempt;
   UpstreamName mUpstream;
-  /** The attempt at which the answer's text began from nothing. */
+  /** The attempt that produced the answer's text from its beginning. */
   AttemptNumber mLineage;
 
   auto operator<=>(const Outcome&) const = default;
@@ -99,20 +107,28 @@
   (),
   (mKind, mStatus, mReason, mBody, mRetryAfter, mAttempt, mUpstream, mLineage))
 
-/** What the ledger keeps of one request, alike on all replicas of its shard. */
+/**
+ * The replicated record of one request, identical on all replicas of its shard.
+ */
 struct RequestRecord
 {
   RequestKey mKey;
   RequestTerms mTerms;
-  /** The entry that talks to the upstream for this request. */
+  /**
+   * The executor: the entry that communicates with the upstream for this
+   * request.
+   */
   MemberId mExecutor;
-  /** Counts the executors: a message of an earlier one is refused. */
+  /**
+   * The executor's ordinal number (its turn). Operations of an earlier turn are
+   * rejected.
+   */
   AttemptNumber mExecutorTurn;
   /** The last committed intent; empty before the first. */
   std::optional<DispatchIntent> mIntent;
   /** True iff the last intent is known not to have run. */
   bool mIntentVoid = false;
-  /** Set once, by the first operation that ends the request. */
+  /** Set by the first operation that ends the request. */
   std::optional<Outcome> mOutcome;
 
   auto operator<=>(const RequestRecord&) const = default;
--- a/include/peridotspool/ledger/TransferMessage.h
+++ b/include/peridotspool/ledger/TransferMessage.h
@@ -10,31 +10,37 @@
 
 namespace peridotspool::ledger {
 
-/** Asks a member for the next part of its copy of a shard. */
+/** Requests the next part of a member's copy of a shard. */
 struct PullMessage
 {
   ShardId mShard;
   EpochNumber mInterval;
-  /** What the asker holds; if it is a prefix, only changes are sent. */
+  /**
+   * The version that the requester holds. If it is a prefix of the member's
+   * history, only changes are sent.
+   */
   LogVersion mHeld;
-  /** The last key received; empty for the first part. */
+  /** The last key received; empty when requesting the first part. */
   std::optional<RequestKey> mAfter;
 
   auto operator<=>(const PullMessage&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(PullMessage, (), (mShard, mInterval, mHeld, mAfter))
 
-/** A record with what a replica knows beside it. */
+/** A record and the replica's metadata, as sent in a transfer. */
 struct RecordCopy
 {
   RequestRecord mRecord;
   Origin mAccepted;
   Duration mRemaining{ 0 };
-  /** Until its kept answer may go; without meaning while unfinished. */
+  /**
+   * Time until the record may be deleted; meaningless while the request is
+   * unfinished.
+   */
   Duration mRetireIn{ 0 };
-  /** Its answer was acknowledged, and only a marker is kept. */
+  /** True iff the answer was acknowledged and only a marker remains. */
   bool mForgotten = false;
-  /** Earlier accepts of this key that ended refused. */
+  /** Earlier accepts of this key that ended as refused. */
   std::vector<Origin> mRefusedAccepts;
 
   auto operator<=>(const RecordCopy&) const = default;
@@ -44,7 +50,9 @@
   (),
   (mRecord, mAccepted, mRemaining, mRetireIn, mForgotten, mRefusedAccepts))
 
-/** A place in a shard's log and the record that it changed. */
+/**
+ * A position in a shard's log and the key of the record that was changed there.
+ */
 struct LogEntry
 {
   LogVersion mVersion;
@@ -55,22 +63,24 @@
 };
 BOOST_DESCRIBE_STRUCT(LogEntry, (), (mVersion, mKey))
 
-/** A part of a copy, in the order of keys. */
+/** A part of a copy, sorted by key. */
 struct ChunkMessage
 {
   ShardId mShard;
   EpochNumber mInterval;
-  /** Echo of PullMessage::mAfter. */
+  /** The value of PullMessage::mAfter in the request. */
   std::optional<RequestKey> mAfter;
-  /** True iff it is a whole copy rather than the changes. */
+  /**
+   * True iff the transfer contains all records rather than only the changes.
+   */
   bool mWhole = false;
   LogVersion mTarget;
   std::vector<RecordCopy> mRecords;
-  /** Keys that are no more. */
+  /** Keys whose records were deleted. */
   std::vector<RequestKey> mRemoved;
-  /** The last key looked at; empty on the last part. */
+  /** The last key processed; empty on the last part. */
   std::optional<RequestKey> mNext;
-  /** The changes' log, on the last part. */
+  /** The log entries of the changes; set on the last part. */
   std::vector<LogEntry> mLog;
 
   auto operator<=>(const ChunkMessage&) const = default;
--- a/src/ledger/AnswerSink.h
+++ b/src/ledger/AnswerSink.h
@@ -7,7 +7,7 @@
 
 namespace peridotspool::ledger {
 
-/** Takes the answer to an operation of this entry's own. */
+/** Receives the answer to an operation that this entry proposed. */
 using AnswerSink = std::function<void(CallId, const OperationAnswer&)>;
 
 } // namespace peridotspool::ledger
--- a/src/ledger/CallTracker.cpp
+++ b/src/ledger/CallTracker.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** Returns the operation as it stands after it has waited. */
+/**
+ * Returns the operation with its remaining time reduced by the time that it has
+ * waited.
+ */
 Operation
 Aged(const Operation& aOperation, Duration aAge)
 {
@@ -62,7 +65,8 @@
                                   .mOperation = std::move(operation) });
     return;
   }
-  // The answer may come at once and end the call: aCall is not used after.
+  // The answer may arrive synchronously and end the call, so aCall must not be
+  // used afterwards.
   const RequestKey key = aCall.mKey;
   mPrimary.Propose(mContext.ShardAt(shard),
                    { .mOrigin = { .mMember = mContext.mSelf, .mCall = aId },
@@ -97,8 +101,8 @@
   mCalls.erase(found);
 }
 
-// A primary drops what it had under way when its replica set changes, also
-// when it stays the primary, so everything is sent again at once.
+// A primary drops its operations in progress when its replica set changes, even
+// if it remains the primary, so all open calls are resent at once.
 void
 CallTracker::OnEpoch()
 {
--- a/src/ledger/CallTracker.h
+++ b/src/ledger/CallTracker.h
@@ -11,7 +11,10 @@
 
 class ShardPrimary;
 
-/** This entry's own operations: sent to primaries until they are answered. */
+/**
+ * Tracks the operations that this entry proposes and resends them to the
+ * primaries until they are answered.
+ */
 class CallTracker
 {
 public:
@@ -19,7 +22,7 @@
 
   void OnPropose(const ProposeEvent& aEvent);
   void OnAnswer(CallId aCall, const OperationAnswer& aAnswer);
-  /** Sends all open calls again, to the primaries of the new epoch. */
+  /** Resends all open calls to the primaries of the new epoch. */
   void OnEpoch();
   void OnTick();
 
--- a/src/ledger/CopyTransfer.cpp
+++ b/src/ledger/CopyTransfer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Takes records in key order until a chunk is full. */
+/** Collects records in key order until a chunk is full. */
 class ChunkBuilder
 {
 public:
@@ -20,7 +20,9 @@
   {
   }
 
-  /** Adds one key's state; returns false when the chunk is full after it. */
+  /**
+   * Adds the state of one key. Returns false if the chunk is full afterwards.
+   */
   bool Add(const RequestKey& aKey)
   {
     const StoredRecord* stored = mStore.Find(aKey);
@@ -45,7 +47,10 @@
   std::optional<RequestKey> mLastKey;
 };
 
-/** Adds the keys of a range after `aAfter`; names the last if some are left. */
+/**
+ * Adds the keys of a range after the chunk's mAfter. Sets mNext to the last key
+ * added if more keys remain.
+ */
 void
 AddKeys(ChunkBuilder& aBuilder,
         ChunkMessage& aChunk,
@@ -122,9 +127,9 @@
   }
 }
 
-// The copy handed out must not change between its parts. It doesn't: it is
-// served only for an interval in which this entry has not begun to serve, and
-// operations of earlier intervals are refused from then on.
+// The copy must not change between the parts of a transfer. This holds because
+// it is served only for an interval in which this entry has not begun to serve,
+// and operations of earlier intervals are rejected from then on.
 void
 CopyTransfer::OnPull(MemberId aFrom, const PullMessage& aPull)
 {
@@ -174,7 +179,7 @@
   }
   ShardFill& fill = *shard.mFill;
   if (fill.mTarget && *fill.mTarget != aChunk.mTarget) {
-    // The source's copy moved on between two parts: begin again.
+    // The source's copy changed between two parts: restarts the fill.
     shard.mFill.reset();
     Start(shard, aFrom);
     return false;
--- a/src/ledger/CopyTransfer.h
+++ b/src/ledger/CopyTransfer.h
@@ -4,19 +4,24 @@
 
 namespace peridotspool::ledger {
 
-/** Fills a copy from another member's, and lets others fill theirs from here.
+/**
+ * Fills a copy from another member's copy, and serves this entry's copies to
+ * other members.
  */
 class CopyTransfer
 {
 public:
   explicit CopyTransfer(LedgerContext& aContext);
 
-  /** Begins to fill the shard's copy, or goes on if it is under way. */
+  /**
+   * Starts to fill the shard's copy, or continues if a fill from this source is
+   * in progress.
+   */
   void Start(Shard& aShard, MemberId aSource);
-  /** Returns true iff this part completed the copy. */
+  /** Processes one part; returns true iff it completes the copy. */
   bool OnChunk(MemberId aFrom, const ChunkMessage& aChunk);
   void OnPull(MemberId aFrom, const PullMessage& aPull);
-  /** Asks again where no answer came. */
+  /** Resends the request for a part that has not arrived in time. */
   void OnTick(Shard& aShard);
 
 private:
--- a/src/ledger/LedgerContext.h
+++ b/src/ledger/LedgerContext.h
@@ -13,7 +13,7 @@
 
 namespace peridotspool::ledger {
 
-/** What all duties of the ledger share during a step. */
+/** State shared by the components of the ledger during a step. */
 struct LedgerContext
 {
   LedgerContext(MemberId aSelf, LedgerOptions aOptions);
@@ -33,14 +33,19 @@
   std::vector<Shard> mShards;
   /** Bytes of records over all shards. */
   std::uint64_t mHeldBytes = 0;
-  /** What other members said that they hold, when they last acknowledged. */
+  /**
+   * Bytes of records held by other members, as of their last acknowledgement.
+   */
   std::map<MemberId, std::uint64_t> mPeerBytes;
   LedgerCounters mCounters;
   PeeringOutbox mOutbox;
   Effects mEffects;
 };
 
-/** Keeps LedgerContext::mHeldBytes right while a shard's records change. */
+/**
+ * Updates LedgerContext::mHeldBytes when a shard's records change within a
+ * scope.
+ */
 class HeldBytesGuard
 {
 public:
--- a/src/ledger/LedgerState.cpp
+++ b/src/ledger/LedgerState.cpp
@@ -45,7 +45,7 @@
 void
 LedgerState::On(const EpochChangedEvent& aEvent)
 {
-  // An older list, late or sent again, never takes the place of a newer one.
+  // A delayed or resent older list must not replace a newer one.
   if (aEvent.mMap.mEpoch > mContext.mEpoch) {
     mPeering.OnEpoch(aEvent.mMap);
     mCalls.OnEpoch();
@@ -55,8 +55,8 @@
 void
 LedgerState::On(const MessageEvent& aEvent)
 {
-  // One that was taken off the member list may wake and send what it had in
-  // hand. Its answers of old commits stay true; nothing else of it counts.
+  // A former member may resume and send queued messages. Its answers about
+  // earlier commits are still valid; its other messages are ignored.
   const bool isAnswer = std::holds_alternative<AnswerMessage>(aEvent.mMessage);
   const bool counts = mContext.IsMember(aEvent.mFrom) || isAnswer;
   if (counts && NamesKnownShards(aEvent.mMessage)) {
--- a/src/ledger/LedgerState.h
+++ b/src/ledger/LedgerState.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::ledger {
 
-/** Hands each event to the duty that it concerns. */
+/** Dispatches each event to the component that handles it. */
 class LedgerState
 {
 public:
--- a/src/ledger/MessageCheck.h
+++ b/src/ledger/MessageCheck.h
@@ -5,8 +5,9 @@
 namespace peridotspool::ledger {
 
 /**
- * Returns true iff all shards that the message names exist. A peer's bytes may
- * say anything; they must not reach an index unchecked.
+ * Returns true iff all shards named by the message exist. The message comes
+ * from another process and must be validated before its shard ids are used as
+ * indexes.
  */
 bool
 NamesKnownShards(const Message& aMessage);
--- a/src/ledger/PeeringChoice.cpp
+++ b/src/ledger/PeeringChoice.cpp
@@ -6,7 +6,11 @@
 
 namespace {
 
-/** What the heard members of one past set let us conclude. */
+/**
+ * The conclusion from the reports of the members of one past replica set:
+ * kCovered if no commit of the set can be missed, kWaiting if more reports may
+ * decide, kGone if all members that could decide have left.
+ */
 enum class Finding
 {
   kCovered,
@@ -28,7 +32,9 @@
   });
 }
 
-/** Returns kWaiting if one of them may yet report, else kGone. */
+/**
+ * Returns kWaiting if one of the members may still report, and kGone otherwise.
+ */
 Finding
 WaitFor(const PeeringInput& aInput, const std::vector<MemberId>& aMembers)
 {
@@ -39,7 +45,7 @@
   return mayReport ? Finding::kWaiting : Finding::kGone;
 }
 
-/** Returns the reporter with the newest copy, or an unset id. */
+/** Returns the reporting member with the newest copy, or an unset id. */
 MemberId
 Newest(const PeeringInput& aInput)
 {
@@ -58,7 +64,8 @@
       best = &aReport;
     }
   };
-  // The asker first: of equal copies its own needs no transfer.
+  // Considers the querying primary first: among equal copies, its own needs no
+  // transfer.
   if (const auto own = aInput.mReports.find(aInput.mSet.front());
       own != aInput.mReports.end()) {
     consider(own->first, own->second);
@@ -69,7 +76,10 @@
   return newest;
 }
 
-/** Has somebody with all commits of the newest activated interval reported? */
+/**
+ * Checks whether a member that holds all commits of the newest activated
+ * interval has reported.
+ */
 Finding
 FindActivated(const PeeringInput& aInput, const ShardReport& aBest)
 {
@@ -84,7 +94,10 @@
   return AllReported(aInput, others) ? Finding::kCovered : WaitFor(aInput, set);
 }
 
-/** Has a member of a later set said that it never went active? */
+/**
+ * Checks whether a member of a later set has reported, and thereby shown that
+ * the set was never activated.
+ */
 Finding
 FindLater(const PeeringInput& aInput, const PastSet& aLater)
 {
@@ -95,7 +108,7 @@
   return witness ? Finding::kCovered : WaitFor(aInput, aLater.mMembers);
 }
 
-/** Returns the sets in charge after `aActivated` that anybody knows of. */
+/** Returns all reported replica sets later than `aActivated`. */
 std::vector<PastSet>
 LaterSets(const PeeringInput& aInput, EpochNumber aActivated)
 {
@@ -113,7 +126,7 @@
   return sets;
 }
 
-/** Returns true iff no set in charge after the best copy can be unknown. */
+/** Returns true iff every replica set later than the best copy is known. */
 bool
 PastIsKnown(const PeeringInput& aInput, EpochNumber aActivated)
 {
--- a/src/ledger/PeeringChoice.h
+++ b/src/ledger/PeeringChoice.h
@@ -9,35 +9,38 @@
 
 namespace peridotspool::ledger {
 
-/** What a new primary knows when it looks for the newest copy. */
+/** Input for a new primary's search for the newest copy. */
 struct PeeringInput
 {
   CommitRule mRule = CommitRule::kAllReplicas;
-  /** The new replica set, the primary (who asks) first. */
+  /** The new replica set, the querying primary first. */
   const std::vector<MemberId>& mSet;
-  /** All members of the present epoch; others are gone for good. */
+  /** All members of the present epoch. Others never return. */
   const std::set<MemberId>& mMembers;
   const std::map<MemberId, ShardReport>& mReports;
 };
 
-/** From whom to fill; not ready means that more reports are needed. */
+/**
+ * The member to fill the copy from. If mReady is false, more reports are
+ * needed.
+ */
 struct PeeringChoice
 {
   bool mReady = false;
-  /** Unset if nobody holds anything. */
+  /** Unset if no member holds a copy. */
   MemberId mSource;
-  /** Records may have been committed by members that are all gone. */
+  /** True iff records may have been committed by members that have all left. */
   bool mMayMissCommits = false;
 
   auto operator<=>(const PeeringChoice&) const = default;
 };
 
 /**
- * Finds the newest copy that surely has all that was ever committed.
+ * Finds the newest copy that certainly contains all committed operations.
  *
- * A past interval may have committed something unless one of its members says
- * that it was not activated in it, since activation is recorded by all replicas
- * before the first commit.
+ * A past interval may have committed operations unless one of its members
+ * reports that it was not activated in it, because all replicas record the
+ * activation before the first commit.
  */
 PeeringChoice
 ChooseSource(const PeeringInput& aInput);
--- a/src/ledger/PeeringEpoch.cpp
+++ b/src/ledger/PeeringEpoch.cpp
@@ -6,7 +6,10 @@
 
 namespace {
 
-/** Past sets remembered for each shard; beyond it all members are asked. */
+/**
+ * Maximum number of past replica sets retained for each shard. If there are
+ * more, all members are queried.
+ */
 constexpr std::size_t kMaxLaterSets = 32;
 
 } // namespace
@@ -46,9 +49,10 @@
   }
 }
 
-// A primary may only go on without asking somebody if that one surely never
-// went active in between, so each copy carries the list of sets that were in
-// charge after it; a primary that has just joined learns them from the copies.
+// A primary may skip a member's report only if that member was certainly never
+// activated in between. Each copy therefore carries the list of replica sets
+// that followed it, and a primary that has just joined learns the sets from the
+// copies.
 void
 PeeringManager::RecordPastSet(Shard& aShard,
                               const std::vector<MemberId>& aOldSet,
@@ -99,8 +103,9 @@
     }
     TryChoose(aShard);
   } else if (aShard.HoldsCopy() && primary.IsSet()) {
-    // Unasked: saves a new primary half a round trip, and tells one that has
-    // just joined of a copy that it can't know of.
+    // Sends the report without a query. This saves a new primary half a round
+    // trip, and informs one that has just joined of a copy that it cannot know
+    // about.
     mContext.mOutbox.mReports[primary].mReports.push_back(
       ReportOf(aShard, mContext.mNow));
     aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverInterval;
--- a/src/ledger/PeeringManager.cpp
+++ b/src/ledger/PeeringManager.cpp
@@ -21,7 +21,8 @@
 PeeringManager::Admit(MemberId aFrom, Shard& aShard, EpochNumber aInterval)
 {
   if (mContext.mEpoch < aInterval) {
-    // This entry hasn't got the member list yet; the primary asks again.
+    // This entry has not received the member list yet; the primary resends the
+    // message.
     return false;
   }
   if (aInterval < aShard.mInterval) {
@@ -32,7 +33,8 @@
     return false;
   }
   if (aInterval > aShard.mInterval && aShard.Primary() == aFrom) {
-    // The primary peers again under a later number, though the set is alike.
+    // The primary peers again under a later interval number, although the
+    // replica set is unchanged.
     aShard.mInterval = aInterval;
     aShard.mFill.reset();
     aShard.mOutOfOrder.clear();
@@ -138,11 +140,12 @@
   mTransfer.Start(aShard, choice.mSource);
 }
 
-// The copy may be older than an intent that was committed and is lost with it.
-// One would notice by an order that runs twice after a wave of reclaims. So
-// each unfinished request that may not run twice gets an intent that nobody
-// can void: it can still be answered, but not sent again nor said not to have
-// run. The marks take places in the log, so that the replicas fetch them.
+// The copy may predate an intent that was committed and then lost with its
+// replicas; running the request again would duplicate an order, for example
+// after many instances are reclaimed. Each unfinished non-idempotent request
+// therefore gets an intent that cannot be voided: the request can still be
+// answered, but it is neither sent again nor reported as not run. The marks get
+// positions in the log, so that the replicas fetch them.
 void
 PeeringManager::MarkMayHaveRun(Shard& aShard)
 {
@@ -270,8 +273,9 @@
   Shard& shard = mContext.ShardAt(aRefused.mShard.mShard);
   const EpochNumber theirs = aRefused.mShard.mInterval;
   const bool mine = shard.Primary() == mContext.mSelf;
-  // The refuser missed an epoch that this entry knows to have changed nothing
-  // here, so it can't trust the interval: peer again under a number it admits.
+  // The rejecting member missed an epoch in which, as this entry knows, nothing
+  // changed for this shard, so it cannot trust the interval. Peers again under
+  // a number that the member admits.
   if (mine && theirs > shard.mInterval && theirs <= mContext.mEpoch) {
     BeginInterval(shard, mContext.mEpoch);
   }
@@ -321,7 +325,8 @@
   PeeringRound& round = *aShard.mRound;
   round.mNextResend = mContext.mNow + mContext.mOptions.mResendInterval;
   if (round.mPhase == PeeringPhase::kQuerying) {
-    // The likely holders didn't suffice: somebody else may hold a copy.
+    // The reports of the likely holders were not sufficient; another member may
+    // hold a copy.
     QueryAll(aShard);
   } else if (round.mPhase == PeeringPhase::kActivating) {
     for (const MemberId member : aShard.mSet) {
--- a/src/ledger/PeeringManager.h
+++ b/src/ledger/PeeringManager.h
@@ -8,9 +8,9 @@
 namespace peridotspool::ledger {
 
 /**
- * Takes a shard from one interval to the next: the new primary finds the
- * newest copy, fills its own and the replicas', has the activation recorded by
- * all of them, and only then serves.
+ * Moves a shard from one interval to the next. The new primary finds the newest
+ * copy, fills its own and the replicas' copies, waits until all replicas have
+ * recorded the activation, and only then serves.
  */
 class PeeringManager
 {
@@ -26,12 +26,12 @@
   void OnActivated(MemberId aFrom, const ActivatedMessage& aActivated);
   void OnRefused(const RefusedMessage& aRefused);
   void OnRelease(MemberId aFrom, const ReleaseMessage& aRelease);
-  /** This entry's copy has been filled. */
+  /** Called when this entry's copy has been filled. */
   void OnFilled(Shard& aShard);
   void OnTick(Shard& aShard);
 
 private:
-  /** Whether a primary's message is of the present interval. */
+  /** Returns true iff a primary's message belongs to the present interval. */
   bool Admit(MemberId aFrom, Shard& aShard, EpochNumber aInterval);
   void BeginInterval(Shard& aShard, EpochNumber aEpoch);
   void RecordPastSet(Shard& aShard,
--- a/src/ledger/PeeringOutbox.h
+++ b/src/ledger/PeeringOutbox.h
@@ -6,7 +6,10 @@
 
 namespace peridotspool::ledger {
 
-/** Joins a step's peering messages, so that each member gets one of a kind. */
+/**
+ * Batches the peering messages of a step, so that each member receives at most
+ * one message of each kind.
+ */
 struct PeeringOutbox
 {
   std::map<MemberId, QueryMessage> mQueries;
@@ -15,7 +18,7 @@
   std::map<MemberId, ActivatedMessage> mActivated;
   std::map<MemberId, ReleaseMessage> mReleases;
 
-  /** Moves all that is there to the effects. */
+  /** Moves all batched messages to the effects. */
   void Flush(EpochNumber aEpoch, Effects& aEffects);
 };
 
--- a/src/ledger/PeeringRound.h
+++ b/src/ledger/PeeringRound.h
@@ -8,26 +8,29 @@
 
 namespace peridotspool::ledger {
 
-/** How far a primary has come with taking charge of a shard. */
+/** The phase of a primary's peering round for a shard. */
 enum class PeeringPhase
 {
-  /** Asks the members what they hold. */
+  /** Queries the members for the copies that they hold. */
   kQuerying,
-  /** Fills its own copy from the newest. */
+  /** Fills its own copy from the newest one. */
   kFilling,
-  /** Waits until all replicas have recorded the activation. */
+  /** Waits until all replicas have recorded the activation of the interval. */
   kActivating,
 };
 
-/** A primary's work between a new interval and serving in it. */
+/** A primary's state from the start of a new interval until it serves. */
 struct PeeringRound
 {
   PeeringPhase mPhase = PeeringPhase::kQuerying;
   std::map<MemberId, ShardReport> mReports;
   std::set<MemberId> mActivated;
-  /** True once all members are asked, not just the likely holders. */
+  /**
+   * True once all members, rather than only the likely holders, have been
+   * queried.
+   */
   bool mQueriedAll = false;
-  /** True once the newest copy found may lack what was committed. */
+  /** True once the newest copy found may lack committed operations. */
   bool mMayMissCommits = false;
   TimePoint mNextResend;
 };
--- a/src/ledger/Placement.cpp
+++ b/src/ledger/Placement.cpp
@@ -15,7 +15,10 @@
   MemberId mMember;
 };
 
-/** Mixes two numbers; the finaliser of SplitMix64, alike on all processes. */
+/**
+ * Mixes two numbers with the finaliser of SplitMix64. The result is the same in
+ * all processes.
+ */
 std::uint64_t
 Score(std::uint64_t aMember, std::uint64_t aShard)
 {
@@ -26,7 +29,9 @@
   return mixed ^ (mixed >> 31);
 }
 
-/** Members by failure domain, so that a name is looked up once, not 256 times.
+/**
+ * Groups the members by failure domain, so that a name is looked up once rather
+ * than 256 times.
  */
 std::vector<std::vector<MemberId>>
 ByDomain(const membership::EpochMap& aMap, membership::MemberState aState)
@@ -64,7 +69,7 @@
 {
   auto domains = ByDomain(aMap, membership::MemberState::kActive);
   if (domains.empty()) {
-    // Everybody leaves at once: a leaving replica is better than none.
+    // All members are draining: a draining replica is better than none.
     domains = ByDomain(aMap, membership::MemberState::kDraining);
   }
   std::vector<Candidate> best(domains.size());
--- a/src/ledger/PrimaryQueue.h
+++ b/src/ledger/PrimaryQueue.h
@@ -16,14 +16,14 @@
 {
   SequenceNumber mSequence;
   RequestKey mKey;
-  /** What the replicas apply; a read where nothing changes. */
+  /** The operation that replicas apply; a read if nothing changes. */
   Operation mOperation;
   Origin mOrigin;
   OperationAnswer mAnswer;
   TimePoint mDeadline;
 };
 
-/** An operation that came before the primary served. */
+/** An operation that arrived before the primary began to serve. */
 struct WaitingOperation
 {
   Origin mOrigin;
@@ -31,20 +31,23 @@
   Operation mOperation;
 };
 
-/** How far one replica has acknowledged the log. */
+/** The last log position that one replica has acknowledged. */
 struct ReplicaProgress
 {
   SequenceNumber mAcked;
   TimePoint mRetryAt;
 };
 
-/** What a primary has under way for one shard. */
+/** A primary's operations in progress for one shard. */
 struct PrimaryQueue
 {
   std::deque<PendingOperation> mPending;
   std::map<MemberId, ReplicaProgress> mReplicas;
   SequenceNumber mCommitted;
-  /** Origins of unanswered operations: their duplicates are dropped. */
+  /**
+   * Origins of unanswered operations. Duplicates of these operations are
+   * dropped.
+   */
   std::set<Origin> mInFlight;
   std::vector<WaitingOperation> mWaiting;
 };
--- a/src/ledger/PrimaryWatch.cpp
+++ b/src/ledger/PrimaryWatch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Most expired records of one shard that one tick forgets. */
+/** Maximum number of expired records of one shard that one tick deletes. */
 constexpr int kForgetBatch = 64;
 
 } // namespace
@@ -24,9 +24,9 @@
   aShard.mStore.SetAlarm(aKey, aNextAlarm);
 }
 
-// The asker may have left the member list while its operation waited here. The
-// epoch's own search for orphans is over by then, so the record is looked at
-// again soon.
+// The requester may have left the member list while its operation waited here.
+// The search for orphans at the epoch change has already run by then, so the
+// record is checked again soon.
 void
 ShardPrimary::WatchExecutor(Shard& aShard, const RequestKey& aKey)
 {
@@ -58,8 +58,8 @@
   }
 }
 
-// A request whose executor died silently, or hangs, is still to be answered:
-// past its deadline the primary's own request module ends it.
+// A request whose executor has crashed unnoticed or hangs must still be
+// answered: after its deadline the request module of the primary ends it.
 void
 ShardPrimary::AnnounceOverdue(Shard& aShard)
 {
--- a/src/ledger/RecordRules.cpp
+++ b/src/ledger/RecordRules.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** How often one key may be refused and begin again while it is kept. */
+/**
+ * Maximum number of times that one key may be refused and accepted again while
+ * its record is retained.
+ */
 constexpr std::size_t kMaxRefusedAccepts = 16;
 
 constexpr RuleResult kChange{ .mVerdict = Verdict::kDone, .mChanges = true };
@@ -20,7 +23,7 @@
   return { .mVerdict = aVerdict, .mChanges = false };
 }
 
-// Priorities are left out: they come from the settings, which may change
+// Priorities are not compared: they come from the settings, which may change
 // between a request and its retry.
 bool
 SameTerms(const RequestTerms& aLeft, const RequestTerms& aRight)
@@ -29,9 +32,10 @@
          aLeft.mIdempotent == aRight.mIdempotent && aLeft.mBody == aRight.mBody;
 }
 
-// A caller that was told when to come back does so with the same key. What was
-// refused surely did not run, so the key may begin again; but not by a late
-// duplicate of the accept that was refused: nobody waits for that any more.
+// A caller retries a refused request with the same key after the indicated
+// delay. A refused request certainly did not run, so it may be accepted again,
+// but not by a late duplicate of the refused accept: no caller waits for that
+// answer any more.
 bool
 MayRestart(const StoredRecord& aStored, const Origin& aOrigin)
 {
@@ -75,8 +79,8 @@
   if (standing && !aRecord.mTerms.mIdempotent) {
     return Refuse(Verdict::kMayHaveRun);
   }
-  // A late duplicate of a voided intent must not stand again: nobody would
-  // void it a second time, and the request could never be sent.
+  // A late duplicate of a voided intent must not become standing again: it
+  // would never be voided a second time, and the request could never be sent.
   if (aRecord.mIntent &&
       aIntend.mIntent.mAttempt <= aRecord.mIntent->mAttempt) {
     return Refuse(Verdict::kOldTurn);
@@ -181,8 +185,8 @@
 Void(RequestRecord& aRecord, const VoidIntentOperation& aVoid)
 {
   if (!aRecord.mIntent || aRecord.mIntent->mAttempt != aVoid.mAttempt) {
-    // The intent's own message is still under way, or lost: this marker turns
-    // it down should it arrive yet.
+    // The message with the intent is still in transit, or lost. This marker
+    // causes the intent to be rejected if it arrives later.
     aRecord.mIntent = DispatchIntent{ .mAttempt = aVoid.mAttempt,
                                       .mUpstream = UpstreamName(),
                                       .mIncarnation = Incarnation() };
--- a/src/ledger/RecordRules.h
+++ b/src/ledger/RecordRules.h
@@ -5,30 +5,39 @@
 
 namespace peridotspool::ledger {
 
-/** What an operation does to the record as it stands. */
+/** The effect of an operation on the current record. */
 struct RuleResult
 {
   Verdict mVerdict = Verdict::kNoSuchRequest;
-  /** True iff the record changes; a repeated operation is kDone without. */
+  /**
+   * True iff the record changes. A repeated operation is kDone without a
+   * change.
+   */
   bool mChanges = false;
 };
 
-/** Returns true iff an intent stands that is not known not to have run. */
+/**
+ * Returns true iff the record has a standing intent, which is one that is not
+ * known not to have run.
+ */
 bool
 HasStandingIntent(const RequestRecord& aRecord);
 
 /**
- * Judges an operation by the rules of at most once. Pure: all replicas with
- * the same record come to the same result.
+ * Evaluates an operation by the at-most-once rules. Pure: all replicas with the
+ * same record reach the same result.
  *
- * @param aRecord the record, or null if the key is not known
+ * @param aRecord the record, or null if the key is unknown
  */
 RuleResult
 EvaluateOperation(const StoredRecord* aRecord,
                   const Operation& aOperation,
                   const Origin& aOrigin);
 
-/** Carries out a change that EvaluateOperation allowed, except accepts and removals. */
+/**
+ * Applies a change that EvaluateOperation allowed. Does not handle accepts and
+ * removals.
+ */
 void
 ApplyChange(RequestRecord& aRecord, const Operation& aOperation);
 
--- a/src/ledger/RecordStore.cpp
+++ b/src/ledger/RecordStore.cpp
@@ -6,9 +6,15 @@
 
 namespace {
 
-/** A tree node's pointers and colour, with the allocator's own word. */
+/**
+ * Size of a tree node's pointers and colour plus one word of allocator
+ * overhead.
+ */
 constexpr std::uint64_t kNodeBytes = 48;
-/** What a record costs beside its texts: the fields and two tree nodes. */
+/**
+ * Memory used by a record in addition to its texts: the fields and two tree
+ * nodes.
+ */
 constexpr std::uint64_t kRecordOverhead =
   sizeof(StoredRecord) + sizeof(RequestKey) + kNodeBytes + kNodeBytes;
 
@@ -80,7 +86,7 @@
   if (!wasFinished && stored.mRecord.mOutcome) {
     stored.mAlarm = aNow + aOptions.mRetention;
   } else if (std::holds_alternative<TakeOverOperation>(aOperation)) {
-    // The announcements of the executor before have reached their end.
+    // The announcements of the previous executor are no longer needed.
     stored.mAlarm = stored.mDeadline + aOptions.mDeadlineGrace;
   }
   Link(stored, aOptions);
@@ -112,8 +118,8 @@
 RecordStore::RestartRefused(const StoredRecord& aRefused, StoredRecord& aFresh)
 {
   Unlink(aRefused);
-  // The next turn, so that whatever the refused one's executor still sends is
-  // turned down.
+  // Uses the next turn, so that late operations of the refused request's
+  // executor are rejected.
   aFresh.mRecord.mExecutorTurn = aRefused.mRecord.mExecutorTurn.Next();
   aFresh.mRefusedAccepts = aRefused.mRefusedAccepts;
   aFresh.mRefusedAccepts.push_back(aRefused.mAccepted);
--- a/src/ledger/RecordStore.h
+++ b/src/ledger/RecordStore.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::ledger {
 
-/** Orders alarms by time, then by key, so that replays repeat exactly. */
+/** Orders alarms by time and then by key, so that replays are deterministic. */
 struct AlarmOrder
 {
   using Alarm = std::pair<TimePoint, const RequestKey*>;
@@ -23,8 +23,8 @@
 };
 
 /**
- * One replica's records of one shard. Unfinished ones are ordered by when the
- * primary must look at them, finished ones by when they may be forgotten.
+ * One replica's records of one shard. Unfinished records are ordered by when
+ * the primary must check them, finished records by when they may be deleted.
  */
 class RecordStore
 {
@@ -39,22 +39,24 @@
   const Alarms& Finished() const { return mFinished; }
   std::uint64_t Bytes() const { return mBytes; }
 
-  /** Carries out an operation that was judged to change the record. */
+  /** Applies an operation that was evaluated to change the record. */
   void Apply(const RequestKey& aKey,
              const Operation& aOperation,
              const Origin& aOrigin,
              const LedgerOptions& aOptions,
              TimePoint aNow);
-  /** Puts in a record from another replica, instead of what was there. */
+  /**
+   * Stores a record received from another replica, replacing any existing one.
+   */
   void Put(const RecordCopy& aCopy,
            const LedgerOptions& aOptions,
            TimePoint aNow);
   void Remove(const RequestKey& aKey);
   /** Gives the record an intent of kLostAttempt. */
   void MarkMayHaveRun(const RequestKey& aKey);
-  /** Notes that the present executor was announced as gone or leaving. */
+  /** Records that the present executor was announced as gone or draining. */
   void MarkAnnounced(const RequestKey& aKey);
-  /** Says when to look at an unfinished record again. */
+  /** Sets the time at which to check an unfinished record again. */
   void SetAlarm(const RequestKey& aKey, TimePoint aAlarm);
 
 private:
@@ -63,7 +65,10 @@
               const Origin& aOrigin,
               const LedgerOptions& aOptions,
               TimePoint aNow);
-  /** Lets go of a refused record and carries on its turn and its accepts. */
+  /**
+   * Replaces a refused record by a new one, which gets the next executor turn
+   * and the list of refused accepts.
+   */
   void RestartRefused(const StoredRecord& aRefused, StoredRecord& aFresh);
   void Insert(StoredRecord aStored, const LedgerOptions& aOptions);
   void Unlink(const StoredRecord& aStored);
@@ -75,11 +80,14 @@
   std::uint64_t mBytes = 0;
 };
 
-/** Returns the bytes that a record takes, with room for its answer to come. */
+/**
+ * Returns the bytes that a record uses, including the space reserved for its
+ * answer while it is unfinished.
+ */
 std::uint64_t
 BytesOf(const RequestRecord& aRecord, const LedgerOptions& aOptions);
 
-/** Returns a record as another replica needs it. */
+/** Returns a record in the form sent to another replica. */
 RecordCopy
 CopyOf(const StoredRecord& aStored, TimePoint aNow);
 
--- a/src/ledger/Shard.h
+++ b/src/ledger/Shard.h
@@ -13,39 +13,45 @@
 
 namespace peridotspool::ledger {
 
-/** One shard as one entry sees it, whether it holds a copy or not. */
+/** One entry's state for one shard, whether or not it holds a copy. */
 struct Shard
 {
   ShardId mId;
 
   /** The replica set of the present epoch, the primary first. */
   std::vector<MemberId> mSet;
-  /** Messages of earlier intervals are refused. */
+  /** The present interval. Messages of earlier intervals are rejected. */
   EpochNumber mInterval;
 
-  /** The interval that this copy was last activated in; unset: no copy. */
+  /**
+   * The interval in which this copy was last activated; unset if this entry
+   * holds no copy.
+   */
   EpochNumber mActivated;
   std::vector<MemberId> mActivatedSet;
   RecordStore mStore;
   ShardLog mLog;
-  /** Until then an unknown key may name a lost request. */
+  /** Until this time an unknown key may belong to a lost request. */
   TimePoint mLossUntil;
 
-  /** Sets in charge after mActivated and before the present interval. */
+  /** Replica sets after mActivated and before the present interval. */
   std::vector<PastSet> mLater;
   bool mLaterIsComplete = true;
   std::optional<PastSet> mVanished;
 
-  /** Set while this entry, as primary, takes charge. */
+  /** Set while this entry, as primary, is peering. */
   std::optional<PeeringRound> mRound;
-  /** Set while this entry fills its copy from another's. */
+  /** Set while this entry fills its copy from another member's copy. */
   std::optional<ShardFill> mFill;
-  /** True while this entry, as primary, serves operations. */
+  /** True while this entry serves operations as primary. */
   bool mServing = false;
   PrimaryQueue mQueue;
-  /** Operations that came before an earlier one, as replica. */
+  /**
+   * Operations that this replica received before an operation with a lower
+   * sequence number.
+   */
   std::map<SequenceNumber, ReplicateMessage> mOutOfOrder;
-  /** When to offer a copy that is no longer needed next. */
+  /** When to report a copy outside the replica set to the primary next. */
   TimePoint mNextLeftover;
 
   bool HoldsCopy() const { return mActivated.IsSet(); }
@@ -54,7 +60,7 @@
   bool Includes(MemberId aMember) const;
 };
 
-/** Records that the copy is whole and counts in the present interval. */
+/** Records that the copy is complete and counts in the present interval. */
 void
 RecordActivation(Shard& aShard);
 
@@ -62,7 +68,10 @@
 void
 DropCopy(Shard& aShard);
 
-/** Returns what this entry holds of the shard and knows of its past. */
+/**
+ * Returns the report on this entry's copy of the shard and its earlier replica
+ * sets.
+ */
 ShardReport
 ReportOf(const Shard& aShard, TimePoint aNow);
 
--- a/src/ledger/ShardFill.h
+++ b/src/ledger/ShardFill.h
@@ -7,7 +7,7 @@
 
 namespace peridotspool::ledger {
 
-/** A record that came in a chunk, and when. */
+/** A record received in a chunk, with the time of its receipt. */
 struct StagedRecord
 {
   RecordCopy mCopy;
@@ -15,8 +15,9 @@
 };
 
 /**
- * A copy being filled. What came is set aside until all of it is there, so
- * that the older copy stays whole should the source be lost meanwhile.
+ * A transfer in progress. Received records are staged until the transfer is
+ * complete, so that the older copy remains intact if the source is lost
+ * meanwhile.
  */
 struct ShardFill
 {
--- a/src/ledger/ShardLog.h
+++ b/src/ledger/ShardLog.h
@@ -10,26 +10,29 @@
 namespace peridotspool::ledger {
 
 /**
- * Which records a shard's latest operations changed, up to a bound. A copy
- * whose version stands in here is a prefix, and is filled by what changed
- * since.
+ * The records changed by a shard's latest operations, up to a limit. A copy
+ * whose version is in this log is a prefix of this one and can be filled with
+ * only the later changes.
  */
 class ShardLog
 {
 public:
   /** The version of the last operation; unset before the first. */
   const LogVersion& Last() const { return mLast; }
-  /** Returns true iff the history up to `aVersion` is a prefix known here. */
+  /**
+   * Returns true iff `aVersion` is in the log, so that the history up to it is
+   * a known prefix.
+   */
   bool Knows(const LogVersion& aVersion) const;
-  /** Returns the entries after `aVersion`, which must be known. */
+  /** Returns the entries after `aVersion`, which must be in the log. */
   std::vector<LogEntry> After(const LogVersion& aVersion) const;
 
   void Append(LogEntry aEntry, std::uint32_t aMaxEntries);
-  /** Forgets all entries: the history before `aBase` is not known here. */
+  /** Deletes all entries. The history before `aBase` is then unknown. */
   void Restart(const LogVersion& aBase);
 
 private:
-  /** What the first entry follows. */
+  /** The version before the first entry. */
   LogVersion mBase;
   LogVersion mLast;
   std::deque<LogEntry> mEntries;
--- a/src/ledger/ShardPrimary.cpp
+++ b/src/ledger/ShardPrimary.cpp
@@ -7,10 +7,13 @@
 
 namespace {
 
-/** Most operations sent again to one replica at once. */
+/** Maximum number of operations resent to one replica at once. */
 constexpr std::uint64_t kResendBatch = 64;
 
-/** Returns the record for an answer, without texts that the asker has. */
+/**
+ * Returns the record for an answer, without the texts that the requester
+ * already has.
+ */
 RequestRecord
 RecordForAnswer(const RequestRecord& aRecord,
                 const Operation& aOperation,
@@ -40,7 +43,7 @@
   return lean;
 }
 
-/** Returns how far the log is committed, given the replicas' progress. */
+/** Returns the last committed log position, given the replicas' progress. */
 SequenceNumber
 CommittedBy(const PrimaryQueue& aQueue, CommitRule aRule, SequenceNumber aLast)
 {
@@ -84,8 +87,8 @@
     }
     return;
   }
-  // A silent replica must not make the primary hold ever more: beyond the
-  // bound the asker's own resend brings the operation again.
+  // An unresponsive replica must not make the primary's queue grow without
+  // limit. Operations beyond the limit are dropped; the requester resends them.
   if (queue.mPending.size() < mContext.mOptions.mMaxPending) {
     Append(aShard, aOperation, EvaluateAtPrimary(aShard, aOperation));
   }
@@ -101,8 +104,8 @@
   const bool mayBeLost = mContext.mNow < aShard.mLossUntil;
   const auto* accept = std::get_if<AcceptOperation>(&aOperation.mOperation);
   if (stored != nullptr) {
-    // A refused key may begin again, but the copy that says "refused" may be
-    // older than a lost beginning, which may have run.
+    // A refused request may be accepted again, but the copy that says "refused"
+    // may predate a later accept that was lost and may have run.
     const bool runsAgain =
       accept != nullptr && result.mChanges && !accept->mTerms.mIdempotent;
     return mayBeLost && runsAgain ? RuleResult{ .mVerdict = Verdict::kLost }
@@ -114,9 +117,10 @@
     }
     return result;
   }
-  // After a loss an unknown key may name a request that has run already. To
-  // run one that may not run twice "as if new" would break at most once, so
-  // it is refused for as long as an earlier life of the key could matter.
+  // After a loss, an unknown key may belong to a request that has already run.
+  // Running a non-idempotent request as a new one would violate at-most-once
+  // execution, so it is rejected for as long as an earlier request with the key
+  // could matter.
   if (mayBeLost && !accept->mTerms.mIdempotent && !accept->mKeyIsNew) {
     return { .mVerdict = Verdict::kLost, .mChanges = false };
   }
@@ -145,9 +149,9 @@
          mContext.mOptions.mMaxBytes;
 }
 
-// An operation that changes nothing takes a place in the log all the same: its
-// answer rests on what is in the log before it, and a primary that was cut off
-// must not answer from a state that others have left behind.
+// An operation that changes nothing also gets a position in the log: its answer
+// depends on the preceding entries, and a primary that was cut off must not
+// answer from a state that the other replicas have superseded.
 void
 ShardPrimary::Append(Shard& aShard,
                      const WaitingOperation& aOperation,
--- a/src/ledger/ShardPrimary.h
+++ b/src/ledger/ShardPrimary.h
@@ -6,18 +6,23 @@
 
 namespace peridotspool::ledger {
 
-/** Orders a shard's operations, replicates them and answers when committed. */
+/**
+ * Orders a shard's operations, replicates them and answers them once committed.
+ */
 class ShardPrimary
 {
 public:
   ShardPrimary(LedgerContext& aContext, AnswerSink aLocalAnswer);
 
-  /** Takes an operation; while peering is under way it waits. */
+  /** Processes an operation, or queues it while peering is in progress. */
   void Propose(Shard& aShard, WaitingOperation aOperation);
   void OnAck(MemberId aFrom, const AckMessage& aAck);
-  /** Begins to serve: all replicas have recorded the activation. */
+  /** Starts to serve. Called when all replicas have recorded the activation. */
   void Serve(Shard& aShard);
-  /** Announces unfinished requests whose executor is gone or leaving. */
+  /**
+   * Announces unfinished requests whose executor has left the member list or is
+   * draining.
+   */
   void AnnounceOrphans(Shard& aShard);
   void OnTick(Shard& aShard);
 
--- a/src/ledger/ShardReplica.cpp
+++ b/src/ledger/ShardReplica.cpp
@@ -4,7 +4,10 @@
 
 namespace {
 
-/** Most operations of one shard kept until an earlier one comes. */
+/**
+ * Maximum number of out-of-order operations of one shard that are held until an
+ * earlier one arrives.
+ */
 constexpr std::size_t kMaxOutOfOrder = 256;
 
 } // namespace
@@ -14,9 +17,9 @@
 {
 }
 
-// A primary that was cut off, or slept, still sends under its old interval. It
-// must get no acknowledgement, or it would tell callers of commits that the
-// present primary knows nothing of.
+// A primary that was cut off or suspended may still send under its old
+// interval. It must not receive an acknowledgement, or it would report commits
+// to callers that the present primary does not know about.
 void
 ShardReplica::OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate)
 {
--- a/src/ledger/ShardReplica.h
+++ b/src/ledger/ShardReplica.h
@@ -4,7 +4,10 @@
 
 namespace peridotspool::ledger {
 
-/** Applies what a shard's primary replicates, in order, and acknowledges it. */
+/**
+ * Applies the operations replicated by a shard's primary, in order, and
+ * acknowledges them.
+ */
 class ShardReplica
 {
 public:
--- a/src/ledger/StoredRecord.h
+++ b/src/ledger/StoredRecord.h
@@ -9,20 +9,26 @@
 
 namespace peridotspool::ledger {
 
-/** A record with what a replica keeps beside it, on its own clock. */
+/**
+ * A record and the replica's local metadata, with times on the replica's own
+ * clock.
+ */
 struct StoredRecord
 {
   RequestRecord mRecord;
-  /** The accept that made it; a resent one is answered kDone again. */
+  /**
+   * The accept that created the record. A resent accept is answered with kDone
+   * again.
+   */
   Origin mAccepted;
-  /** Earlier accepts of this key that ended refused, the oldest first. */
+  /** Earlier accepts of this key that ended as refused, the oldest first. */
   std::vector<Origin> mRefusedAccepts;
   TimePoint mDeadline;
-  /** When the primary next has to look at it (deadline or retention). */
+  /** When the primary must check the record next (deadline or retention). */
   TimePoint mAlarm;
-  /** Only a marker is left: the texts are gone. */
+  /** True iff only a marker without texts remains. */
   bool mForgotten = false;
-  /** The turn whose executor was last announced as orphaned. */
+  /** The executor turn that was last announced as orphaned. */
   AttemptNumber mAnnouncedTurn;
   std::uint64_t mBytes = 0;
 };
