--- a/test/ledger/BoundsTest.cpp
+++ b/test/ledger/BoundsTest.cpp
@@ -11,7 +11,10 @@
 
 using std::chrono::seconds;
 
-/** An unfinished order: its body, its answer's room and the record itself. */
+/**
+ * Bytes of an unfinished order: its body, the space reserved for its answer,
+ * and the record itself.
+ */
 constexpr std::uint64_t kOrderBytes = 2000 + 1000 + 1000;
 
 LedgerOptions
@@ -24,7 +27,10 @@
   return options;
 }
 
-/** Accepts and answers orders until one is refused; returns how many went. */
+/**
+ * Accepts and answers orders until an accept is refused. Returns the number
+ * accepted.
+ */
 int
 FillUp(TestEntries& aEntries, int aFirst, Verdict& aLast)
 {
@@ -46,18 +52,19 @@
 
 } // namespace
 
-TEST_CASE("RefusesAcceptsBeyondTheMemoryBoundAndTakesThemAgainLater")
+TEST_CASE("RefusesAcceptsAboveTheMemoryLimitUntilRecordsExpire")
 {
-  // Symptom: an entry grows until it is killed, with all that it holds.
-  // Sequence: callers send more than the retention lets go.
-  // Cause: records had no bound in bytes, or were never let go.
+  // Guards against an entry whose memory grows until it is killed, with the
+  // loss of all its records. This happens when callers send more requests than
+  // the retention releases, and records are not limited in bytes or never
+  // deleted.
   TestEntries entries(1, SmallOptions());
   Verdict last = Verdict::kDone;
   const int taken = FillUp(entries, 0, last);
   CHECK(last == Verdict::kFull);
   CHECK(taken > 20);
-  // A primary knows what a replica held when it last acknowledged; each other
-  // primary may have placed one more order on it since.
+  // A primary knows the bytes that a replica held at its last acknowledgement.
+  // Since then each other primary may have added one more order to it.
   const std::uint64_t bound = 200'000 + 3 * kOrderBytes;
   for (const MemberId member : entries.mIds) {
     CHECK(entries.mCluster.CountersOf(member).mHeldBytes <= bound);
@@ -65,14 +72,14 @@
   entries.mCluster.Run(seconds(40));
   CHECK(entries.Sum(&LedgerCounters::mHeldRecords) == 0);
   CHECK(entries.Sum(&LedgerCounters::mHeldBytes) == 0);
-  // Room is judged from what replicas last acknowledged, so the count may
-  // differ by one order for each other primary, here as above.
+  // Free space is computed from the replicas' last acknowledgements, so the
+  // count may differ by one order for each other primary, as above.
   const int again = FillUp(entries, 1000, last);
   CHECK(last == Verdict::kFull);
   CHECK(std::abs(again - taken) <= 3);
 }
 
-TEST_CASE("AFullLedgerStillFinishesWhatItHas")
+TEST_CASE("AFullLedgerStillFinishesAcceptedRequests")
 {
   TestEntries entries(1, SmallOptions());
   const MemberId gateway = entries.mIds[0];
--- a/test/ledger/ChaosDriver.cpp
+++ b/test/ledger/ChaosDriver.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-// Members that were lost leave the list, and as many new ones come.
+// Removes the lost members from the list and adds as many new ones.
 void
 ChaosDriver::Replace()
 {
@@ -141,7 +141,8 @@
       mCut.clear();
       break;
     case 5:
-      // One that is frozen or cut off is given up while it still runs.
+      // A frozen or disconnected member is declared lost while it is still
+      // running.
       if (mFrozen.contains(member) || mCut.contains(member)) {
         Lose(member);
       }
@@ -149,7 +150,7 @@
       mCluster.Publish();
       break;
     case 6:
-      // An epoch that one member never hears of.
+      // Publishes an epoch that one member never receives.
       mCluster.Join("domain-" + std::to_string(mNextDomain++ % kDomains));
       mCluster.Publish({ member });
       break;
--- a/test/ledger/ChaosDriver.h
+++ b/test/ledger/ChaosDriver.h
@@ -11,7 +11,10 @@
 
 namespace peridotspool::ledger {
 
-/** One step of a random schedule; the driver takes it modulo what exists. */
+/**
+ * One step of a random schedule. The driver reduces each value modulo the
+ * number of available choices.
+ */
 struct ChaosCommand
 {
   std::uint32_t mKind = 0;
@@ -21,8 +24,9 @@
 
 /**
  * Runs a random schedule of faults over a cluster of seven entries in five
- * failure domains. Between two settlements at most as many entries are lost for
- * good as the commit rule survives: two with all replicas, else one.
+ * failure domains. Between two settlements, at most as many entries are lost
+ * permanently as the commit rule tolerates: two with kAllReplicas, otherwise
+ * one.
  */
 class ChaosDriver
 {
@@ -31,13 +35,13 @@
 
   static LedgerOptions Options();
 
-  /** Does one fault, or lets some time pass. */
+  /** Injects one fault, or advances the time. */
   void Fault(const ChaosCommand& aCommand);
-  /** Ends all faults and runs until each shard is served. */
+  /** Ends all faults and runs until every shard is served. */
   void Settle();
-  /** Returns some live member that the present member list names. */
+  /** Returns a live member of the present member list. */
   MemberId Gateway(std::uint32_t aChoice) const;
-  /** Returns how many shards are served now. */
+  /** Returns the number of shards currently served. */
   std::uint64_t Served() const;
 
   TestCluster& Cluster() { return mCluster; }
@@ -46,7 +50,10 @@
   void Lose(MemberId aMember);
   void Replace();
   void Drain(MemberId aMember);
-  /** Ends the draining entries that hold nothing more: that is no loss. */
+  /**
+   * Stops the draining entries that hold nothing any more, which loses no
+   * records.
+   */
   void EndDrained();
   std::vector<MemberId> Members() const;
 
@@ -54,7 +61,7 @@
   std::set<MemberId> mFrozen;
   std::set<MemberId> mCut;
   std::set<MemberId> mDraining;
-  /** Members that are out of order and will be taken off the list. */
+  /** Failed members that are to be removed from the member list. */
   std::set<MemberId> mLost;
   int mLossesAllowed;
   int mLossesLeft;
--- a/test/ledger/CommitRuleTest.cpp
+++ b/test/ledger/CommitRuleTest.cpp
@@ -19,7 +19,7 @@
   return options;
 }
 
-/** One order in one shard, and the loss of some of the shard's replicas. */
+/** One order in one shard, some of whose replicas are lost. */
 class OneOrder
 {
 public:
@@ -36,7 +36,10 @@
     return mEntries.mCluster.Do(mGateway, mKey, AcceptOrder(mGateway)).mVerdict;
   }
 
-  /** Kills these replicas, by their place in the set, and repairs. */
+  /**
+   * Kills the replicas at these positions in the set, replaces them and waits
+   * until all shards are served.
+   */
   void Lose(const std::vector<int>& aPlaces)
   {
     std::vector<MemberId> lost;
@@ -80,18 +83,17 @@
 
 TEST_CASE("AllReplicasRulePromisesNothingThatASilentReplicaLacks")
 {
-  // Symptom: an accepted request is gone with two entries, though three hold
-  // each shard.
-  // Sequence: one replica is silent; an accept is told to the caller all the
-  // same; the other two are lost.
-  // Cause: the rule counted fewer replicas than the promise needs.
+  // Guards against the loss of an accepted request with only two of the three
+  // entries that hold its shard. This happens when an accept is reported to the
+  // caller while one replica is unresponsive, because the commit rule counts
+  // too few replicas, and the other two are then lost.
   OneOrder order(CommitRule::kAllReplicas);
   order.mEntries.mCluster.Cut(order.mSet[2]);
   const CallId call = order.mEntries.mCluster.Propose(
     order.mGateway, order.mKey, AcceptOrder(order.mGateway));
   order.mEntries.mCluster.Run(seconds(2));
   CHECK(order.mEntries.mCluster.AnswerTo(call) == nullptr);
-  // It stalls only until an epoch leaves the silent one out.
+  // The shard stalls only until an epoch excludes the unresponsive replica.
   order.mEntries.Replace({ order.mSet[2] });
   order.mEntries.mCluster.Run(seconds(2));
   REQUIRE(order.mEntries.mCluster.AnswerTo(call) != nullptr);
@@ -120,11 +122,10 @@
 
 TEST_CASE("PrimaryPlusOneRuleLosesWhatItsPairHeldAndSaysSo")
 {
-  // Symptom: an accepted request is gone after two losses.
-  // Sequence: the third replica is silent, an accept commits on the other
-  // two, both are lost.
-  // Cause: the rule's window. The ledger counts the possible loss, and does
-  // not run an order as new that may have run.
+  // Covers the rule's known window of loss: the third replica is unresponsive,
+  // an accept commits on the other two, and both are lost. The ledger counts
+  // the possible loss and does not run an order as new that may already have
+  // run.
   OneOrder order(CommitRule::kPrimaryPlusOne);
   order.mEntries.mCluster.Cut(order.mSet[2]);
   REQUIRE(order.Accept() == Verdict::kDone);
@@ -140,10 +141,10 @@
 
 TEST_CASE("LossOfAllReplicasIsCountedAndRunsNothingAsNew")
 {
-  // Symptom: a repaste order runs twice after a wave of reclaims.
-  // Sequence: all three replicas of a shard are lost at once, unannounced;
-  // the caller sends its order again.
-  // Cause: an empty new copy was taken for "never accepted".
+  // Guards against an order that runs twice after many instances are reclaimed:
+  // all three replicas of a shard are lost at once without notice, the caller
+  // resends its order, and the empty new copy is mistaken for proof that the
+  // order was never accepted.
   for (const CommitRule rule :
        { CommitRule::kAllReplicas, CommitRule::kPrimaryPlusOne }) {
     OneOrder order(rule);
@@ -153,7 +154,8 @@
     CHECK(order.Read() == Verdict::kLost);
     CHECK(order.Accept() == Verdict::kLost);
     TestCluster& cluster = order.mEntries.mCluster;
-    // What may run twice, or has a key that was made just now, goes on.
+    // Idempotent requests, and requests with a newly generated key, are
+    // accepted.
     CHECK(
       cluster
         .Do(order.mGateway, KeyIn(kShard, 1), AcceptOrder(order.mGateway, true))
@@ -167,10 +169,10 @@
 
 TEST_CASE("AfterALossNothingThatMayHaveRunIsSentAgain")
 {
-  // Symptom: an order runs twice, though its record survived.
-  // Sequence: all three replicas hold an accept; the third is silent while
-  // the intent commits on the other two, which are then lost.
-  // Cause: the surviving copy is older than the intent, and was believed.
+  // Guards against an order that runs twice although its record survives: all
+  // three replicas hold the accept, the third is unresponsive while the intent
+  // commits on the other two, and these two are then lost. The surviving copy
+  // predates the intent and must not be taken as complete.
   OneOrder order(CommitRule::kPrimaryPlusOne);
   TestCluster& cluster = order.mEntries.mCluster;
   REQUIRE(order.Accept() == Verdict::kDone);
@@ -189,7 +191,7 @@
   CHECK(order.Read() == Verdict::kDone);
   CHECK(ask(IntendTo("jobs-2", 2)) == Verdict::kMayHaveRun);
   CHECK(ask(FinishWith(OutcomeKind::kRefused, "")) == Verdict::kMayHaveRun);
-  // The marks are on all replicas: two more losses change nothing.
+  // The marks are on all replicas, so two more losses change nothing.
   order.mSet = cluster.Places().ReplicasOf(kShard);
   order.mGateway = order.mEntries.Other(order.mSet);
   order.Lose({ 0, 1 });
@@ -199,11 +201,11 @@
 
 TEST_CASE("AfterALossARefusedKeyDoesNotBeginAgain")
 {
-  // Symptom: an order runs twice, though its record survived.
-  // Sequence: an order is refused; the third replica turns silent; the order
-  // begins again and is sent; the other two replicas are lost; the caller
-  // sends the order once more.
-  // Cause: the surviving copy still says "refused", and was believed.
+  // Guards against an order that runs twice although its record survives: the
+  // order is refused, the third replica becomes unresponsive, the order is
+  // accepted again and sent, the other two replicas are lost, and the caller
+  // resends the order. The surviving copy still says "refused" and must not be
+  // taken as current.
   OneOrder order(CommitRule::kPrimaryPlusOne);
   TestCluster& cluster = order.mEntries.mCluster;
   const auto ask = [&](const Operation& aOperation) {
--- a/test/ledger/DifferentialTest.cpp
+++ b/test/ledger/DifferentialTest.cpp
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 constexpr std::uint32_t kKeys = 5;
-/** Kinds of commands from here on are faults, those before operations. */
+/** Command kinds below this value are operations; the others are faults. */
 constexpr std::uint32_t kFirstFault = 54;
 
 RequestKey
@@ -81,52 +81,55 @@
     60, rc::gen::resize(rc::kNominalSize, command));
 }
 
-/** What the answers to one request say together. */
+/** The combined content of all answers about one request. */
 struct Witness
 {
-  /** With the executor turn that each was given in. */
+  /**
+   * The granted intents, each with the executor turn in which it was granted.
+   */
   std::map<DispatchIntent, AttemptNumber> mGivenIntents;
   std::set<AttemptNumber> mVoided;
-  /** The outcome that was told for each executor turn. */
+  /** The outcome reported for each executor turn. */
   std::map<AttemptNumber, OutcomeKind> mOutcomes;
   bool mAccepted = false;
 };
 
-/** An operation that was asked for while others were under way. */
-struct AskedCall
+/** An operation that was proposed while others were in progress. */
+struct ProposedCall
 {
   CallId mCall;
-  MemberId mAsker;
+  MemberId mProposer;
   RequestKey mKey;
   Operation mOperation;
 };
 
 void
 AddAnswer(Witness& aWitness,
-          const AskedCall& aAsked,
+          const ProposedCall& aCall,
           const OperationAnswer& aAnswer)
 {
   RC_ASSERT(aAnswer.mVerdict != Verdict::kLost);
-  const auto* intend = std::get_if<IntendOperation>(&aAsked.mOperation);
+  const auto* intend = std::get_if<IntendOperation>(&aCall.mOperation);
   if (aAnswer.mVerdict == Verdict::kDone && intend != nullptr) {
     aWitness.mGivenIntents.emplace(intend->mIntent, intend->mExecutorTurn);
   }
   aWitness.mAccepted |= aAnswer.mRecord.has_value();
   if (aAnswer.mRecord && aAnswer.mRecord->mOutcome) {
     const OutcomeKind kind = aAnswer.mRecord->mOutcome->mKind;
-    const auto told =
+    const auto reported =
       aWitness.mOutcomes.emplace(aAnswer.mRecord->mExecutorTurn, kind);
-    RC_ASSERT(told.first->second == kind);
+    RC_ASSERT(reported.first->second == kind);
   }
 }
 
 std::map<RequestKey, Witness>
-WitnessesOf(const TestCluster& aCluster, const std::vector<AskedCall>& aCalls)
+WitnessesOf(const TestCluster& aCluster,
+            const std::vector<ProposedCall>& aCalls)
 {
   std::map<RequestKey, Witness> witnesses;
-  for (const AskedCall& asked : aCalls) {
+  for (const ProposedCall& asked : aCalls) {
     const OperationAnswer* answer = aCluster.AnswerTo(asked.mCall);
-    RC_ASSERT(answer != nullptr || !aCluster.IsAlive(asked.mAsker));
+    RC_ASSERT(answer != nullptr || !aCluster.IsAlive(asked.mProposer));
     Witness& witness = witnesses[asked.mKey];
     const auto* unsent = std::get_if<VoidIntentOperation>(&asked.mOperation);
     if (unsent != nullptr) {
@@ -139,7 +142,7 @@
   return witnesses;
 }
 
-/** Checks what was said of a request against what is read of it at the end. */
+/** Checks the answers about a request against the final state of its record. */
 void
 CheckPromises(const Witness& aWitness, const OperationAnswer& aRead)
 {
@@ -152,8 +155,8 @@
   }
   const RequestRecord& record = *aRead.mRecord;
   for (const auto& [turn, kind] : aWitness.mOutcomes) {
-    // An outcome that was told stands; only a refusal, which surely did not
-    // run, may be followed by a later turn.
+    // A reported outcome is permanent. Only a refusal, after which the request
+    // certainly did not run, may be followed by a later turn.
     if (turn < record.mExecutorTurn) {
       RC_ASSERT(kind == OutcomeKind::kRefused);
       continue;
@@ -168,10 +171,10 @@
       continue;
     }
     ++standing;
-    // Whoever was told "did not run" of that turn was told the truth.
-    const auto told = aWitness.mOutcomes.find(turn);
-    RC_ASSERT(told == aWitness.mOutcomes.end() ||
-              told->second != OutcomeKind::kRefused);
+    // If the turn was reported as "did not run", no intent of it may stand.
+    const auto reported = aWitness.mOutcomes.find(turn);
+    RC_ASSERT(reported == aWitness.mOutcomes.end() ||
+              reported->second != OutcomeKind::kRefused);
   }
   RC_ASSERT(record.mTerms.mIdempotent || standing <= 1);
   const bool refused =
@@ -181,7 +184,7 @@
 
 } // namespace
 
-/** Found by rapidcheck: prints a failing schedule. */
+/** Prints a command of a failing schedule. Called by rapidcheck. */
 void
 showValue(const ChaosCommand& aCommand, std::ostream& aStream)
 {
@@ -189,7 +192,10 @@
           << aCommand.mSecond << '}';
 }
 
-/** Runs one schedule operation by operation beside the naive map. */
+/**
+ * Runs one schedule, one operation at a time, and compares the answers with
+ * those of the naive map.
+ */
 void
 CompareWithNaive(std::uint64_t aSeed,
                  const std::vector<ChaosCommand>& aSchedule,
@@ -228,9 +234,9 @@
 
 TEST_CASE("AnswersLikeOneMapThatNeverFails")
 {
-  // Symptom: any answer that a single map without faults would not give.
-  // Sequence: operations one after the other, each until it is answered,
-  // between losses, freezes, cuts, epochs, lost and doubled messages.
+  // Guards against any answer that a single map without faults would not give.
+  // Runs operations one at a time, each until it is answered, between losses,
+  // freezes, network cuts, epoch changes, and lost and duplicated messages.
   rc::prop("AnswersLikeOneMapThatNeverFails", [] {
     const std::uint64_t seed = *rc::gen::inRange<std::uint64_t>(0, 1U << 30);
     CompareWithNaive(seed, GenerateSchedule(), CommitRule::kAllReplicas);
@@ -239,7 +245,8 @@
 
 TEST_CASE("AnswersLikeOneMapWithPrimaryPlusOneAndSingleLosses")
 {
-  // As above; between two settlements one entry at most is lost for good.
+  // As above, but at most one entry is lost permanently between two
+  // settlements.
   rc::prop("AnswersLikeOneMapWithPrimaryPlusOne", [] {
     const std::uint64_t seed = *rc::gen::inRange<std::uint64_t>(0, 1U << 30);
     CompareWithNaive(seed, GenerateSchedule(), CommitRule::kPrimaryPlusOne);
@@ -248,15 +255,16 @@
 
 TEST_CASE("KeepsEachPromiseUnderConcurrentOperationsAndFaults")
 {
-  // Symptom: an accepted request is gone, is sent twice, or ends in two ways.
-  // Sequence: operations of all entries at once, between losses, freezes,
-  // cuts, epochs, lost and doubled messages.
+  // Guards against an accepted request that is lost, is sent twice or gets two
+  // different outcomes. Runs concurrent operations of all entries between
+  // losses, freezes, network cuts, epoch changes, and lost and duplicated
+  // messages.
   rc::prop("KeepsEachPromise", [] {
     const std::uint64_t seed = *rc::gen::inRange<std::uint64_t>(0, 1U << 30);
     const std::vector<ChaosCommand> schedule = GenerateSchedule();
     ChaosDriver driver(seed);
     TestCluster& cluster = driver.Cluster();
-    std::vector<AskedCall> calls;
+    std::vector<ProposedCall> calls;
     for (const ChaosCommand& command : schedule) {
       if (command.mKind >= kFirstFault) {
         driver.Fault(command);
--- a/test/ledger/FencingTest.cpp
+++ b/test/ledger/FencingTest.cpp
@@ -16,10 +16,10 @@
 
 TEST_CASE("ACutOffPrimaryCommitsNothing")
 {
-  // Symptom: two teams at one hoarding.
-  // Sequence: a primary is cut off with a caller on its side; the others go
-  // on without it; both sides give an intent for the same order.
-  // Cause: the old primary didn't know, and needed nobody's consent.
+  // Guards against an order that runs twice because a primary is cut off
+  // together with a caller. The other replicas continue without it, and both
+  // sides grant an intent for the same order if the old primary can commit
+  // without the others' acknowledgement.
   TestEntries entries(2);
   TestCluster& cluster = entries.mCluster;
   const RequestKey key = KeyIn(kShard);
@@ -52,11 +52,10 @@
 
 TEST_CASE("AFrozenPrimaryThatWakesIsRefused")
 {
-  // Symptom: an order runs under a primary that had been replaced.
-  // Sequence: a primary is stopped with an intent in its inbox, replaced, and
-  // wakes: it orders the intent and replicates it before it hears of the
-  // epoch that left it out.
-  // Cause: replicas took operations of an interval that was over.
+  // Guards against an order that runs under a replaced primary: the primary is
+  // suspended with an intent in its inbox, is replaced, resumes, and replicates
+  // the intent before it receives the epoch that excludes it. Replicas must
+  // reject operations of an interval that has ended.
   TestEntries entries(2);
   TestCluster& cluster = entries.mCluster;
   const RequestKey key = KeyIn(kShard);
@@ -83,11 +82,10 @@
 
 TEST_CASE("OneOfThreeRetriesRunsThoughThePrimaryIsLost")
 {
-  // Symptom: a duplicated repaste order.
-  // Sequence: a caller retries through three entries at once, the primary
-  // dies in between, and each entry that was told "accepted" or "known" asks
-  // for the right to send.
-  // Cause: the right to send was kept where it died with the primary.
+  // Guards against a duplicated order: a caller retries through three entries
+  // at once, the primary dies in between, and each entry that got "accepted" or
+  // "known" requests an intent. The right to send must survive the loss of the
+  // primary.
   for (int step = 0; step < 12; ++step) {
     TestEntries entries(2);
     TestCluster& cluster = entries.mCluster;
@@ -123,10 +121,10 @@
 
 TEST_CASE("AnOutcomeStaysThroughTheLossOfItsPrimary")
 {
-  // Symptom: a caller attaches again and gets another answer than before.
-  // Sequence: an answer is committed, its primary dies, and an executor that
-  // hadn't heard of it finishes the request in another way.
-  // Cause: the second outcome took the place of the first.
+  // Guards against a caller that reconnects and gets a different answer: an
+  // answer is committed, its primary dies, and an executor that did not receive
+  // the answer finishes the request with another outcome. The second outcome
+  // must not replace the first.
   TestEntries entries(2);
   TestCluster& cluster = entries.mCluster;
   const RequestKey key = KeyIn(kShard);
@@ -146,10 +144,9 @@
 
 TEST_CASE("ADuplicateOfAnAcceptAfterForgettingIsNotRunAsNew")
 {
-  // Symptom: an order that was answered and acknowledged runs again.
-  // Sequence: accept, answer, acknowledgement; then the caller's retry, which
-  // had been under way all the time, arrives.
-  // Cause: the record was dropped with the answer.
+  // Guards against an order that runs again after its answer was acknowledged:
+  // the caller's delayed retry arrives after the acknowledgement. This happens
+  // if the whole record is dropped with the answer.
   TestEntries entries;
   TestCluster& cluster = entries.mCluster;
   const RequestKey key = KeyIn(kShard);
--- a/test/ledger/LedgerPathTest.cpp
+++ b/test/ledger/LedgerPathTest.cpp
@@ -35,9 +35,9 @@
 
 TEST_CASE("GivesAnIntentOnceForARequestThatMayNotRunTwice")
 {
-  // Symptom: a repaste order sent two teams to one hoarding.
-  // Sequence: the caller retries through three entries at once; each sends it.
-  // Cause: nothing shared said that the order had been sent already.
+  // Guards against an order that is sent several times when a caller retries
+  // through three entries at once. This happens if no shared record shows that
+  // the order has already been sent.
   TestEntries four;
   TestCluster& cluster = four.mCluster;
   std::vector<CallId> accepts;
@@ -63,7 +63,7 @@
         Verdict::kMayHaveRun);
 }
 
-TEST_CASE("AnswersAResentIntentDoneAgain")
+TEST_CASE("AnswersAResentIntentWithDone")
 {
   TestEntries four;
   TestCluster& cluster = four.mCluster;
@@ -83,7 +83,7 @@
   const VoidIntentOperation unsent{ .mExecutorTurn = AttemptNumber(1),
                                     .mAttempt = AttemptNumber(1) };
   CHECK(cluster.Do(entry, kOrder, unsent).mVerdict == Verdict::kDone);
-  // A late duplicate of the voided intent does not stand again.
+  // A late duplicate of the voided intent is rejected.
   CHECK(cluster.Do(entry, kOrder, IntendTo("jobs-1")).mVerdict ==
         Verdict::kOldTurn);
   CHECK(cluster.Do(entry, kOrder, IntendTo("jobs-2", 2)).mVerdict ==
@@ -92,10 +92,9 @@
 
 TEST_CASE("RefusesToSayDidNotRunWhileAnIntentStands")
 {
-  // Symptom: a caller was told that its order did not run, and it had run.
-  // Sequence: intent, the upstream runs it, its answer is lost, the entry
-  // gives up with a refusal.
-  // Cause: the refusal was not checked against what had been sent.
+  // Guards against reporting "did not run" for an order that ran: an intent is
+  // committed, the upstream runs the order, its answer is lost, and the entry
+  // gives up with a refusal. The refusal must be checked against what was sent.
   TestEntries four;
   TestCluster& cluster = four.mCluster;
   const MemberId entry = four.mIds[0];
@@ -111,9 +110,9 @@
 
 TEST_CASE("TurnsDownAnIntentAfterACommittedRefusal")
 {
-  // Symptom: an order ran after its caller had been told that it did not.
-  // Sequence: the refusal is committed; a slow executor then asks to send.
-  // Cause: the refusal was only told, not recorded before it was told.
+  // Guards against an order that runs after its caller was informed that it did
+  // not: the refusal is committed, and a slow executor then requests an intent.
+  // This happens if the refusal is reported without being recorded first.
   TestEntries four;
   TestCluster& cluster = four.mCluster;
   const MemberId entry = four.mIds[0];
@@ -155,12 +154,12 @@
         Verdict::kOtherTerms);
 }
 
-TEST_CASE("TurnsDownAnIntentThatWasVoidedBeforeItCame")
+TEST_CASE("RejectsAnIntentVoidedBeforeItsArrival")
 {
-  // Symptom: a request is stuck, since an intent stands that nobody holds.
-  // Sequence: an intent's answer is lost, its executor voids it, and the
-  // delayed intent arrives after the void.
-  // Cause: the void of an unknown intent left no trace.
+  // Guards against a request that is blocked by an intent without an owner: the
+  // answer to the intent is lost, its executor voids it, and the delayed intent
+  // arrives after the void. This happens if the void of an unknown intent
+  // leaves no record.
   TestEntries four;
   TestCluster& cluster = four.mCluster;
   const MemberId entry = four.mIds[0];
@@ -175,7 +174,7 @@
     Verdict::kDone);
 }
 
-TEST_CASE("SaysWhetherAWithdrawnRequestMayHaveRun")
+TEST_CASE("ReportsWhetherACancelledRequestMayHaveRun")
 {
   TestEntries four;
   TestCluster& cluster = four.mCluster;
--- a/test/ledger/NaiveLedger.h
+++ b/test/ledger/NaiveLedger.h
@@ -7,13 +7,14 @@
 namespace peridotspool::ledger {
 
 /**
- * One map that never fails: what the replicated ledger is compared with. It
- * is written from the operations' descriptions, apart from the ledger's code.
+ * A single map without faults, as the reference for the replicated ledger.
+ * Written from the descriptions of the operations, independently of the
+ * ledger's code.
  */
 class NaiveLedger
 {
 public:
-  /** Carries out the operation; returns the verdict that is due. */
+  /** Applies the operation and returns the expected verdict. */
   Verdict Do(const RequestKey& aKey, const Operation& aOperation);
   const RequestRecord* Find(const RequestKey& aKey) const;
 
@@ -34,7 +35,7 @@
     bool Stands() const { return mRecord.mIntent && !mRecord.mIntentVoid; }
   };
 
-  /** Returns the entry if it is unfinished and the turn is its present one. */
+  /** Returns the entry if it is unfinished and the turn is its present turn. */
   Entry* Running(const RequestKey& aKey,
                  AttemptNumber aTurn,
                  Verdict& aVerdict);
--- a/test/ledger/OrphanTest.cpp
+++ b/test/ledger/OrphanTest.cpp
@@ -12,7 +12,7 @@
 
 constexpr ShardId kShard(77);
 
-/** An order whose executor is not its shard's primary. */
+/** An order whose executor is not the primary of its shard. */
 class RunningOrder
 {
 public:
@@ -40,9 +40,9 @@
 
 TEST_CASE("AnnouncesARequestWhoseExecutorIsGoneUntilItIsTakenOver")
 {
-  // Symptom: an accepted request is never answered.
-  // Sequence: the entry that ran it dies; nobody else knows that it should.
-  // Cause: only the executor kept watch over the request.
+  // Guards against an accepted request that is never answered because only its
+  // executor tracks it: the executor dies, and no other entry knows about the
+  // request.
   RunningOrder order;
   TestCluster& cluster = order.mEntries.mCluster;
   cluster.Kill(order.mExecutor);
@@ -74,9 +74,9 @@
 
 TEST_CASE("AnnouncesARequestPastItsDeadlineThoughItsExecutorLives")
 {
-  // Symptom: a caller waits for ever on a request that hangs in an entry.
-  // Sequence: the executor stands still but is not taken off the list.
-  // Cause: the deadline was watched by the executor alone.
+  // Guards against a caller that waits forever for a request that hangs in an
+  // entry: the executor is suspended but remains on the member list. This
+  // happens if only the executor checks the deadline.
   RunningOrder order;
   TestCluster& cluster = order.mEntries.mCluster;
   cluster.Freeze(order.mExecutor);
@@ -88,12 +88,11 @@
         Duration::zero());
 }
 
-TEST_CASE("TheNextPrimaryAnnouncesWhatTheLastOneLeft")
+TEST_CASE("TheNextPrimaryAnnouncesOrphansOfTheLastOne")
 {
-  // Symptom: a request is forgotten when its executor and its primary go
-  // together.
-  // Sequence: both die in one moment.
-  // Cause: the watch over orphans died with the primary.
+  // Guards against a request that is lost when its executor and its primary die
+  // at the same moment. This happens if the tracking of orphans dies with the
+  // primary.
   RunningOrder order;
   TestCluster& cluster = order.mEntries.mCluster;
   cluster.Kill(order.mExecutor);
--- a/test/ledger/PeeringChoiceTest.cpp
+++ b/test/ledger/PeeringChoiceTest.cpp
@@ -63,23 +63,24 @@
 
 TEST_CASE("WaitsForALaterSetThatMayHaveGoneActive")
 {
-  // kD and kE were in charge after the copy that kA holds.
+  // kD and kE were the replica set after the copy that kA holds.
   const std::vector<PastSet> later{ { .mEpoch = EpochNumber(4),
                                       .mMembers = { kD, kE } } };
   const ShardReport old = Holds(3, 9, { kA, kB }, later);
   CHECK_FALSE(Choose({ kA }, { kA, kD, kE }, { { kA, old } }).mReady);
-  // One of them says that it never went active: nothing was committed there.
+  // One of them reports that it was never activated, so nothing was committed
+  // there.
   const auto choice =
     Choose({ kA }, { kA, kD, kE }, { { kA, old }, { kD, ShardReport() } });
   CHECK(choice.mReady);
   CHECK_FALSE(choice.mMayMissCommits);
-  // Both are gone for good: what they committed, if anything, is lost.
+  // Both have left permanently, so anything they committed is lost.
   const auto gone = Choose({ kA }, { kA }, { { kA, old } });
   CHECK(gone.mReady);
   CHECK(gone.mMayMissCommits);
 }
 
-TEST_CASE("AsksEverybodyWhenThePastIsNotKnownWhole")
+TEST_CASE("QueriesAllMembersWhenPastSetsAreUnknown")
 {
   ShardReport gap = Holds(3, 9, { kA, kB });
   gap.mLaterIsComplete = false;
@@ -88,7 +89,7 @@
     Choose({ kA }, { kA, kC }, { { kA, gap }, { kC, ShardReport() } }).mReady);
 }
 
-TEST_CASE("TakesAnEmptyShardForNewOnlyWhenAllSaySo")
+TEST_CASE("TreatsAnEmptyShardAsNewOnlyIfAllMembersReportNoCopy")
 {
   CHECK_FALSE(Choose({ kA }, { kA, kB }, { { kA, ShardReport() } }).mReady);
   const auto choice = Choose(
@@ -98,7 +99,7 @@
   CHECK_FALSE(choice.mMayMissCommits);
 }
 
-TEST_CASE("ReportsASetThatVanishedWhole")
+TEST_CASE("ReportsASetWhoseMembersAllLeft")
 {
   ShardReport witness;
   witness.mVanished =
--- a/test/ledger/PlacementTest.cpp
+++ b/test/ledger/PlacementTest.cpp
@@ -63,7 +63,7 @@
   CHECK(Placement(map, 4).ReplicasOf(ShardId(3)).size() == 4);
 }
 
-TEST_CASE("AJoinMovesOnlyTheShardsThatItTakes")
+TEST_CASE("AJoinMovesOnlyShardsAssignedToTheNewMember")
 {
   const Placement before(MapOf(11, 4), 3);
   const Placement after(MapOf(12, 4), 3);
--- a/test/ledger/ReclaimTest.cpp
+++ b/test/ledger/ReclaimTest.cpp
@@ -15,50 +15,54 @@
 constexpr int kOrders = 120;
 
 /**
- * A shard one of whose copies has parted from the others: `mStray` alone has an
- * operation of a primary that died, and was left out while the others went on.
- * Request 0 is on all copies, 1 on the stray's only, 2 and 3 on the others'.
+ * A shard with one diverged copy: only `mDiverged` has an operation of a
+ * primary that died, and it was excluded while the other replicas continued.
+ * Request 0 is on all copies, 1 only on the diverged copy, 2 and 3 only on the
+ * others.
  */
-class PartedCopy
+class DivergedCopy
 {
 public:
-  PartedCopy()
+  DivergedCopy()
     : mCluster(SmallChunks())
   {
     mPrimary = mCluster.Join("kariakoo");
-    mStray = mCluster.Join("ubungo");
-    mKeeper = mCluster.Join("msasani");
+    mDiverged = mCluster.Join("ubungo");
+    mSurvivor = mCluster.Join("msasani");
     mCluster.Publish();
     mCluster.Run(seconds(1));
-    mShard = ShardThatLeavesStrayOut();
+    mShard = FindShardThatExcludesDiverged();
     Accept(mPrimary, 0);
-    mCluster.Cut(mKeeper);
+    mCluster.Cut(mSurvivor);
     mCluster.Propose(mPrimary, KeyIn(mShard, 1), AcceptOrder(mPrimary));
     mCluster.Run(milliseconds(20));
-    mCluster.Freeze(mStray);
+    mCluster.Freeze(mDiverged);
     mCluster.Kill(mPrimary);
-    mCluster.Mend(mKeeper);
+    mCluster.Mend(mSurvivor);
     mCluster.Remove(mPrimary);
-    mRival = mCluster.Join("ubungo");
+    mReplacement = mCluster.Join("ubungo");
     mOther = mCluster.Join("kariakoo");
     mCluster.Publish();
     mCluster.Run(seconds(1));
-    Accept(mKeeper, 2);
-    Accept(mKeeper, 3);
+    Accept(mSurvivor, 2);
+    Accept(mSurvivor, 3);
   }
 
-  /** The entry that took the stray's place goes, so that it is chosen again. */
-  void BringBackStray()
+  /**
+   * Removes the entry that replaced the diverged one, so that the diverged one
+   * is selected again.
+   */
+  void ReinstateDiverged()
   {
-    mCluster.Kill(mRival);
-    mCluster.Remove(mRival);
-    mCluster.Wake(mStray);
+    mCluster.Kill(mReplacement);
+    mCluster.Remove(mReplacement);
+    mCluster.Wake(mDiverged);
     mCluster.Publish();
   }
 
   void LoseOthers()
   {
-    for (const MemberId member : { mKeeper, mOther }) {
+    for (const MemberId member : { mSurvivor, mOther }) {
       mCluster.Kill(member);
       mCluster.Remove(member);
     }
@@ -67,15 +71,15 @@
 
   Verdict Read(int aNumber)
   {
-    return mCluster.Do(mStray, KeyIn(mShard, aNumber), ReadOperation())
+    return mCluster.Do(mDiverged, KeyIn(mShard, aNumber), ReadOperation())
       .mVerdict;
   }
 
   TestCluster mCluster;
   MemberId mPrimary;
-  MemberId mStray;
-  MemberId mKeeper;
-  MemberId mRival;
+  MemberId mDiverged;
+  MemberId mSurvivor;
+  MemberId mReplacement;
   MemberId mOther;
   ShardId mShard;
 
@@ -94,8 +98,11 @@
     REQUIRE(answer.mVerdict == Verdict::kDone);
   }
 
-  /** Finds a shard of the first primary that the rival will take over. */
-  ShardId ShardThatLeavesStrayOut() const
+  /**
+   * Finds a shard of the first primary whose next replica set excludes the
+   * diverged entry.
+   */
+  ShardId FindShardThatExcludesDiverged() const
   {
     membership::EpochMap next = mCluster.Map();
     next.mMembers.erase(next.mMembers.begin());
@@ -110,7 +117,7 @@
     for (std::uint64_t shard = 0; shard < kShardCount; ++shard) {
       const auto& set = later.ReplicasOf(ShardId(shard));
       const bool without =
-        std::find(set.begin(), set.end(), mStray) == set.end();
+        std::find(set.begin(), set.end(), mDiverged) == set.end();
       if (without && mCluster.Places().PrimaryOf(ShardId(shard)) == mPrimary) {
         return ShardId(shard);
       }
@@ -124,10 +131,10 @@
 
 TEST_CASE("KeepsRequestsWhenASecondEntryIsLostRightAfterARepair")
 {
-  // Symptom: a photo check-in vanished.
-  // Sequence: an entry dies, the repair ends, and at once another one dies
-  // that holds the repaired copies; then a third.
-  // Cause: the repair counted a replica before it had been filled.
+  // Guards against the loss of a request when an entry dies, the repair ends,
+  // and immediately another entry that holds repaired copies dies, followed by
+  // a third. This happens if the repair counts a replica before it has been
+  // filled.
   TestEntries entries;
   const std::vector<RequestKey> keys = entries.AcceptMany(kOrders);
   for (int round = 0; round < 3; ++round) {
@@ -142,9 +149,9 @@
 
 TEST_CASE("KeepsRequestsWhenTwoOfThreeReplicasAreLostAtOnce")
 {
-  // Symptom: a fault log must be typed again at the machine.
-  // Sequence: two entries die in one moment, before any repair.
-  // Cause: the accept was told to the caller before all replicas held it.
+  // Guards against the loss of a request when two entries die at the same
+  // moment, before any repair. This happens if the accept is reported to the
+  // caller before all replicas hold it.
   TestEntries entries;
   const std::vector<RequestKey> keys = entries.AcceptMany(kOrders);
   entries.mCluster.Kill(entries.mIds[0]);
@@ -157,9 +164,9 @@
 
 TEST_CASE("KeepsRequestsWhenAnEntryDiesInTheMiddleOfARepair")
 {
-  // Symptom: requests are gone after two deaths within one repair.
-  // Sequence: an entry dies; while the new one is being filled another dies.
-  // Cause: the copy being replaced was dropped before the new one was whole.
+  // Guards against the loss of requests when a second entry dies while the
+  // replacement of the first is being filled. This happens if the copy being
+  // replaced is dropped before the new one is complete.
   for (int step = 1; step <= 8; ++step) {
     LedgerOptions options;
     options.mChunkBytes = 4000;
@@ -177,10 +184,10 @@
 
 TEST_CASE("HandsEverythingOverBeforeAnAnnouncedReclaimOfAWholeDomain")
 {
-  // Symptom: requests are lost, or cut short, when a zone is reclaimed.
-  // Sequence: a notice comes for all entries of a failure domain; they turn
-  // draining, hand over and say when they hold nothing more; they are taken.
-  // Cause: a leaving entry's copies were neither moved nor known to be moved.
+  // Guards against lost or truncated requests when a zone is reclaimed: all
+  // entries of a failure domain get notice, start draining, hand over, report
+  // that they hold nothing any more, and are removed. This fails if a draining
+  // entry's copies are not moved, or the completion of the move is not known.
   TestEntries entries(2);
   const std::vector<RequestKey> keys = entries.AcceptMany(kOrders);
   const MemberId first = entries.mIds[1];
@@ -202,9 +209,8 @@
 
 TEST_CASE("KeepsRequestsWhenAnEntryDiesInTheMiddleOfAnAnnouncedReclaim")
 {
-  // Symptom: as above, but the process dies before its handover ends.
-  // Sequence: notice, draining, a part is handed over, kill -9.
-  // Cause: reliance on the handover rather than on the replicas.
+  // As above, but the process is killed (kill -9) after a part of the handover.
+  // Requests must survive through the replicas and not depend on the handover.
   for (int step = 1; step <= 6; ++step) {
     TestEntries entries(2);
     const std::vector<RequestKey> keys = entries.AcceptMany(kOrders);
@@ -224,10 +230,10 @@
 
 TEST_CASE("FindsCopiesThoughThePrimaryHasJustJoined")
 {
-  // Symptom: a new primary starts with nothing, and serves so.
-  // Sequence: new entries join and become primaries of shards that they know
-  // nothing of; some had never been told of earlier epochs.
-  // Cause: a primary took its own ignorance for an empty shard.
+  // Guards against a new primary that serves with an empty copy: new entries
+  // join and become primaries of shards that they know nothing about, and some
+  // have never received earlier epochs. This happens if a primary takes its
+  // lack of knowledge for an empty shard.
   TestEntries entries;
   const std::vector<RequestKey> keys = entries.AcceptMany(kOrders);
   for (int i = 0; i < 8; ++i) {
@@ -241,10 +247,10 @@
 
 TEST_CASE("KeepsRequestsThoughEntriesMissEpochs")
 {
-  // Symptom: copies diverge after an entry was told of epochs 1 and 3 only.
-  // Sequence: an epoch moves shards away and the next one back; one entry
-  // hears of neither or of the second alone.
-  // Cause: it went on in an interval that had ended meanwhile.
+  // Guards against copies that diverge when an entry receives only epochs 1 and
+  // 3: one epoch moves shards away, the next moves them back, and an entry
+  // misses both or receives only the second. This happens if the entry
+  // continues in an interval that has ended.
   TestEntries entries;
   const std::vector<RequestKey> keys = entries.AcceptMany(kOrders);
   const MemberId late = entries.mIds[2];
@@ -259,15 +265,16 @@
 
 TEST_CASE("ReplacesACopyWhoseHistoryHasParted")
 {
-  // Symptom: a replica lacks an operation that it once acknowledged a place
-  // for, and the request in it is gone when it becomes the last survivor.
-  // Sequence: a primary dies after it gave a place in the log to an operation
-  // that one replica alone has. That replica is frozen and left out; others
-  // fill the same place with another operation. Then it comes back.
-  // Cause: logs were compared by place alone, not by interval and place.
-  PartedCopy parted;
+  // Guards against a replica that lacks an operation although it acknowledged
+  // its log position, so that the request is lost when this replica is the last
+  // survivor. A primary dies after it assigned a log position to an operation
+  // that only one replica has. That replica is frozen and excluded, the others
+  // fill the same position with another operation, and then the replica
+  // returns. This happens if logs are compared by position alone and not by
+  // interval and position.
+  DivergedCopy parted;
   TestCluster& cluster = parted.mCluster;
-  parted.BringBackStray();
+  parted.ReinstateDiverged();
   cluster.Run(seconds(1));
   parted.LoseOthers();
   cluster.Run(seconds(1));
@@ -278,18 +285,18 @@
 
 TEST_CASE("KeepsAnOlderCopyWholeUntilTheNewerOneIsThere")
 {
-  // Symptom: even requests that an entry had held for long are gone.
-  // Sequence: the returning replica of above is being filled, and both other
-  // holders die in the middle. What was accepted without it is lost, and
-  // counted; what it held must still be there.
-  // Cause: the old copy was dropped when the filling began.
+  // Guards against the loss of requests that an entry has held for long: the
+  // returning replica of the previous test is being filled when both other
+  // holders die. The requests accepted without it are lost and counted, but
+  // those that it held must survive. This happens if the old copy is dropped
+  // when the fill starts.
   bool diedWithin = false;
   for (int step = 1; step <= 20; ++step) {
-    PartedCopy parted;
-    parted.BringBackStray();
+    DivergedCopy parted;
+    parted.ReinstateDiverged();
     parted.mCluster.Run(Duration(500 * step));
     const bool filled =
-      parted.mCluster.CountersOf(parted.mStray).mFullFills > 0;
+      parted.mCluster.CountersOf(parted.mDiverged).mFullFills > 0;
     parted.LoseOthers();
     parted.mCluster.Run(seconds(2));
     CHECK(parted.Read(0) == Verdict::kDone);
@@ -301,9 +308,10 @@
   CHECK(diedWithin);
 }
 
-TEST_CASE("FillsAReturningCopyByWhatChanged")
+TEST_CASE("FillsAReturningCopyWithChangesOnly")
 {
-  // Half the shards' copies come back to where they were, one change behind.
+  // Half of the shards' copies return to their earlier entries, one change
+  // behind.
   TestEntries entries;
   entries.AcceptMany(kOrders);
   const MemberId extra = entries.mCluster.Join("msasani");
--- a/test/ledger/RefusedAgainTest.cpp
+++ b/test/ledger/RefusedAgainTest.cpp
@@ -12,12 +12,12 @@
 
 } // namespace
 
-TEST_CASE("RefusedKeyBeginsAgainWithTheNextTurn")
+TEST_CASE("RefusedKeyIsAcceptedAgainWithTheNextTurn")
 {
-  // Symptom: a caller that was told when to come back gets its old refusal for
-  // as long as answers are kept. Sequence: refused for a limit; the caller
-  // waits as told and sends the same key. Cause: a known key only ever returns
-  // its record.
+  // Guards against a caller that gets its old refusal for as long as answers
+  // are retained: a request is refused by a limit, and the caller retries with
+  // the same key after the indicated delay. This happens if a known key always
+  // returns its record.
   TestEntries four;
   TestCluster& cluster = four.mCluster;
   const MemberId first = four.mIds[0];
@@ -36,9 +36,9 @@
 
 TEST_CASE("LateIntentOfARefusedTurnIsTurnedDownAfterItBeganAgain")
 {
-  // Symptom: a request that was refused as not run runs after all, beside its
-  // successor. Sequence: refused; begins again; the first executor's intent
-  // arrives late. Cause: the turn is not counted on.
+  // Guards against a refused request that runs in addition to its successor:
+  // the request is refused and accepted again, and the first executor's intent
+  // arrives late. This happens if the executor turn is not incremented.
   TestEntries four;
   TestCluster& cluster = four.mCluster;
   const MemberId entry = four.mIds[0];
@@ -51,10 +51,10 @@
 
 TEST_CASE("DuplicateOfARefusedAcceptNeverBeginsItAgain")
 {
-  // Symptom: a request runs that nobody asked for any more. Sequence: an
-  // accept is refused and the caller told so; it comes back and is refused
-  // again; a duplicate of the first accept arrives. Cause: any accept begins a
-  // refused key again.
+  // Guards against a request that runs although no caller waits for it: an
+  // accept is refused and the refusal reported, the caller retries and is
+  // refused again, and a duplicate of the first accept arrives. This happens if
+  // any accept restarts a refused key.
   const Origin first{ MemberId(1), CallId(1) };
   const Origin second{ MemberId(1), CallId(2) };
   const AcceptOperation accept = AcceptOrder(MemberId(1));
@@ -70,7 +70,7 @@
           .mChanges);
 }
 
-TEST_CASE("AnsweredKeyNeverBeginsAgain")
+TEST_CASE("AnsweredKeyIsNeverAcceptedAgain")
 {
   TestEntries four;
   TestCluster& cluster = four.mCluster;
--- a/test/ledger/TestCluster.h
+++ b/test/ledger/TestCluster.h
@@ -13,7 +13,7 @@
 
 namespace peridotspool::ledger {
 
-/** How badly the test network treats messages. */
+/** Faults and delays of the simulated network. */
 struct NetworkFaults
 {
   double mLoss = 0;
@@ -22,7 +22,9 @@
   Duration mMaxDelay = std::chrono::microseconds(1500);
 };
 
-/** Several ledgers over an in-memory network, on one simulated clock. */
+/**
+ * Several ledgers connected by an in-memory network, with one simulated clock.
+ */
 class TestCluster
 {
 public:
@@ -32,15 +34,18 @@
   MemberId Join(const std::string& aDomain);
   void Drain(MemberId aMember);
   void Remove(MemberId aMember);
-  /** Makes the next epoch; those in `aSkipped` never hear of it. */
+  /** Publishes the next epoch. The members in `aSkipped` never receive it. */
   void Publish(const std::set<MemberId>& aSkipped = {});
 
-  /** The process is gone, with all that it held. */
+  /** Ends the process, with the loss of all its data. */
   void Kill(MemberId aMember);
-  /** The process stands still; what is sent to it waits. */
+  /** Suspends the process. Messages sent to it are queued. */
   void Freeze(MemberId aMember);
   void Wake(MemberId aMember);
-  /** Nothing passes to or from it, member lists included. */
+  /**
+   * Disconnects the member. It neither sends nor receives anything, including
+   * member lists.
+   */
   void Cut(MemberId aMember);
   void Mend(MemberId aMember);
   void SetFaults(const NetworkFaults& aFaults) { mFaults = aFaults; }
@@ -48,9 +53,9 @@
   CallId Propose(MemberId aMember,
                  const RequestKey& aKey,
                  const Operation& aOperation);
-  /** Returns the answer, or null while there is none. */
+  /** Returns the answer, or null if there is none yet. */
   const OperationAnswer* AnswerTo(CallId aCall) const;
-  /** Proposes and runs until the answer is there. */
+  /** Proposes the operation and runs until it is answered. */
   OperationAnswer Do(MemberId aMember,
                      const RequestKey& aKey,
                      const Operation& aOperation);
@@ -65,14 +70,14 @@
   TimePoint Now() const { return mNow; }
   std::uint64_t MessagesSent() const { return mMessagesSent; }
   std::uint64_t BytesSent() const { return mBytesSent; }
-  /** Calls answered more than once; must stay empty. */
+  /** Calls that were answered more than once. Must remain empty. */
   const std::vector<CallId>& AnsweredTwice() const { return mAnsweredTwice; }
 
 private:
   struct Delivery
   {
     MemberId mFrom;
-    /** Either a message of another ledger, or a member list. */
+    /** A message from another ledger; unset if mMap is delivered. */
     std::optional<std::string> mBytes;
     std::optional<membership::EpochMap> mMap;
   };
@@ -113,7 +118,7 @@
 RequestKey
 KeyIn(ShardId aShard, int aNumber = 0);
 
-/** Returns a plain accept of a request that may not run twice. */
+/** Returns an accept of a request that is not idempotent by default. */
 AcceptOperation
 AcceptOrder(MemberId aExecutor, bool aIdempotent = false);
 
--- a/test/ledger/TestEntries.h
+++ b/test/ledger/TestEntries.h
@@ -4,19 +4,19 @@
 
 namespace peridotspool::ledger {
 
-/** Entries spread over four failure domains, served and settled. */
+/** Entries in four failure domains, settled with every shard served. */
 class TestEntries
 {
 public:
   explicit TestEntries(int aPerDomain = 1, LedgerOptions aOptions = {});
 
-  /** Takes the members off the list, adds as many new ones and publishes. */
+  /** Removes the members from the list, adds as many new ones and publishes. */
   void Replace(const std::vector<MemberId>& aLost);
-  /** Runs until each shard is served, or throws. */
+  /** Runs until every shard is served; throws if that does not happen. */
   void Settle();
   /** Accepts `aCount` orders through the entries in turn; returns the keys. */
   std::vector<RequestKey> AcceptMany(int aCount);
-  /** Returns how many of the requests some live entry can still read. */
+  /** Returns the number of requests that a live entry can still read. */
   int CountReadable(const std::vector<RequestKey>& aKeys);
   /** Returns the sum of a counter over the live entries. */
   std::uint64_t Sum(std::uint64_t LedgerCounters::*aCounter) const;
--- a/test/ledger/TraceReplay.cpp
+++ b/test/ledger/TraceReplay.cpp
@@ -102,8 +102,9 @@
                             .mExecutor = aGateway };
 }
 
-// With `expect` it waits for the answer; with `call` the answer is looked at
-// later; with `frozen` the entry stands still as soon as it has asked.
+// With `expect`, waits for the answer. With `call`, the answer is checked
+// later. With `frozen`, the entry is suspended as soon as it has proposed the
+// operation.
 void
 TraceReplay::DoOperation(const YAML::Node& aStep)
 {
--- a/test/ledger/TraceReplay.h
+++ b/test/ledger/TraceReplay.h
@@ -11,18 +11,21 @@
 namespace peridotspool::ledger {
 
 /**
- * Replays a recorded trace over a cluster and checks the outcomes it states.
+ * Replays a recorded trace on a cluster and checks the outcomes stated in the
+ * trace.
  *
- * Entries are named by what they are to the trace's shard when it begins:
- * `primary`, `second`, `third`, `outsider` (no replica); `domain NAME` is all
- * entries of a failure domain.
+ * Entries are named by their role for the trace's shard at the start:
+ * `primary`, `second`, `third`, `outsider` (no replica). `domain NAME` means
+ * all entries of a failure domain.
  */
 class TraceReplay
 {
 public:
   explicit TraceReplay(const YAML::Node& aTrace);
 
-  /** Returns one line for each step whose outcome differs from the trace's. */
+  /**
+   * Returns one line for each step whose outcome differs from the stated one.
+   */
   std::vector<std::string> Run();
 
 private:
--- a/test/ledger/TraceTest.cpp
+++ b/test/ledger/TraceTest.cpp
@@ -10,7 +10,7 @@
 
 TEST_CASE("ReplaysRecordedTracesToTheirStatedOutcomes")
 {
-  // Symptom, sequence and cause stand at the head of each trace.
+  // Each trace describes the failure and its cause at its head.
   const std::filesystem::path folder =
     std::filesystem::path(PERIDOTSPOOL_SOURCE_DIR) / "test/traces/ledger";
   int replayed = 0;
