--- a/test/ledger/CommitRuleTest.cpp
+++ b/test/ledger/CommitRuleTest.cpp
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_CASE("AllReplicasRulePromisesNothingThatASilentReplicaLacks")
+TEST_CASE("AllReplicasRuleDoesNotCommitWithoutAnUnresponsiveReplica")
 {
   // Guards against the loss of an accepted request with only two of the three
   // entries that hold its shard. This happens when an accept is reported to the
@@ -100,7 +100,7 @@
   CHECK(order.mEntries.mCluster.AnswerTo(call)->mVerdict == Verdict::kDone);
 }
 
-TEST_CASE("PrimaryPlusOneRuleGoesOnWithASilentReplica")
+TEST_CASE("PrimaryPlusOneRuleServesDespiteAnUnresponsiveReplica")
 {
   OneOrder order(CommitRule::kPrimaryPlusOne);
   order.mEntries.mCluster.Cut(order.mSet[2]);
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE("PrimaryPlusOneRuleLosesWhatItsPairHeldAndSaysSo")
+TEST_CASE("PrimaryPlusOneRuleCountsLossOfBothHoldersAsPossibleLoss")
 {
   // Covers the rule's known window of loss: the third replica is unresponsive,
   // an accept commits on the other two, and both are lost. The ledger counts
@@ -139,7 +139,7 @@
   CHECK(order.Accept() == Verdict::kLost);
 }
 
-TEST_CASE("LossOfAllReplicasIsCountedAndRunsNothingAsNew")
+TEST_CASE("LossOfAllReplicasIsCountedAndNoRequestRunsAsNew")
 {
   // Guards against an order that runs twice after many instances are reclaimed:
   // all three replicas of a shard are lost at once without notice, the caller
@@ -199,7 +199,7 @@
   CHECK(ask(FinishWith(OutcomeKind::kUnknown, "")) == Verdict::kDone);
 }
 
-TEST_CASE("AfterALossARefusedKeyDoesNotBeginAgain")
+TEST_CASE("AfterALossARefusedKeyIsNotAcceptedAgain")
 {
   // Guards against an order that runs twice although its record survives: the
   // order is refused, the third replica becomes unresponsive, the order is
--- a/test/ledger/DifferentialTest.cpp
+++ b/test/ledger/DifferentialTest.cpp
@@ -127,16 +127,16 @@
             const std::vector<ProposedCall>& aCalls)
 {
   std::map<RequestKey, Witness> witnesses;
-  for (const ProposedCall& asked : aCalls) {
-    const OperationAnswer* answer = aCluster.AnswerTo(asked.mCall);
-    RC_ASSERT(answer != nullptr || !aCluster.IsAlive(asked.mProposer));
-    Witness& witness = witnesses[asked.mKey];
-    const auto* unsent = std::get_if<VoidIntentOperation>(&asked.mOperation);
+  for (const ProposedCall& call : aCalls) {
+    const OperationAnswer* answer = aCluster.AnswerTo(call.mCall);
+    RC_ASSERT(answer != nullptr || !aCluster.IsAlive(call.mProposer));
+    Witness& witness = witnesses[call.mKey];
+    const auto* unsent = std::get_if<VoidIntentOperation>(&call.mOperation);
     if (unsent != nullptr) {
       witness.mVoided.insert(unsent->mAttempt);
     }
     if (answer != nullptr) {
-      AddAnswer(witness, asked, *answer);
+      AddAnswer(witness, call, *answer);
     }
   }
   return witnesses;
--- a/test/ledger/LedgerPathTest.cpp
+++ b/test/ledger/LedgerPathTest.cpp
@@ -33,7 +33,7 @@
   CHECK(cluster.AnsweredTwice().empty());
 }
 
-TEST_CASE("GivesAnIntentOnceForARequestThatMayNotRunTwice")
+TEST_CASE("GrantsOneIntentForANonIdempotentRequest")
 {
   // Guards against an order that is sent several times when a caller retries
   // through three entries at once. This happens if no shared record shows that
@@ -73,7 +73,7 @@
         Verdict::kDone);
 }
 
-TEST_CASE("GivesASecondIntentOnlyAfterTheFirstWasVoided")
+TEST_CASE("GrantsASecondIntentOnlyAfterTheFirstIsVoided")
 {
   TestEntries four;
   TestCluster& cluster = four.mCluster;
@@ -90,7 +90,7 @@
         Verdict::kDone);
 }
 
-TEST_CASE("RefusesToSayDidNotRunWhileAnIntentStands")
+TEST_CASE("RejectsARefusalWhileAnIntentStands")
 {
   // Guards against reporting "did not run" for an order that ran: an intent is
   // committed, the upstream runs the order, its answer is lost, and the entry
@@ -108,7 +108,7 @@
     Verdict::kDone);
 }
 
-TEST_CASE("TurnsDownAnIntentAfterACommittedRefusal")
+TEST_CASE("RejectsAnIntentAfterACommittedRefusal")
 {
   // Guards against an order that runs after its caller was informed that it did
   // not: the refusal is committed, and a slow executor then requests an intent.
--- a/test/ledger/ReclaimTest.cpp
+++ b/test/ledger/ReclaimTest.cpp
@@ -263,7 +263,7 @@
   CHECK(entries.CountReadable(keys) == kOrders);
 }
 
-TEST_CASE("ReplacesACopyWhoseHistoryHasParted")
+TEST_CASE("ReplacesADivergedCopy")
 {
   // Guards against a replica that lacks an operation although it acknowledged
   // its log position, so that the request is lost when this replica is the last
@@ -283,7 +283,7 @@
   }
 }
 
-TEST_CASE("KeepsAnOlderCopyWholeUntilTheNewerOneIsThere")
+TEST_CASE("KeepsAnOlderCopyUntilTheNewerOneIsComplete")
 {
   // Guards against the loss of requests that an entry has held for long: the
   // returning replica of the previous test is being filled when both other
--- a/test/ledger/RefusedAgainTest.cpp
+++ b/test/ledger/RefusedAgainTest.cpp
@@ -34,7 +34,7 @@
   CHECK_FALSE(again.mRecord->mOutcome.has_value());
 }
 
-TEST_CASE("LateIntentOfARefusedTurnIsTurnedDownAfterItBeganAgain")
+TEST_CASE("LateIntentOfARefusedTurnIsRejectedAfterARepeatedAccept")
 {
   // Guards against a refused request that runs in addition to its successor:
   // the request is refused and accepted again, and the first executor's intent
@@ -49,7 +49,7 @@
         Verdict::kOldTurn);
 }
 
-TEST_CASE("DuplicateOfARefusedAcceptNeverBeginsItAgain")
+TEST_CASE("DuplicateOfARefusedAcceptDoesNotRestartTheRequest")
 {
   // Guards against a request that runs although no caller waits for it: an
   // accept is refused and the refusal reported, the caller retries and is
