--- a/include/peridotspool/control/Consensus.h
+++ b/include/peridotspool/control/Consensus.h
@@ -21,7 +21,10 @@
 enum class Role
 {
   kFollower,
-  /** Asks whether it would be elected, without raising its term. */
+  /**
+   * Collects pre-votes to check whether it would be elected, without raising
+   * its term.
+   */
   kPreCandidate,
   kCandidate,
   kLeader,
@@ -30,55 +33,66 @@
 
 /**
  * The replicated log: elections, replication, compaction and changes of the
- * replica set, after the Raft algorithm with pre-vote, check-quorum and leader
- * leases.
+ * replica set. Implements the Raft algorithm with pre-vote, check-quorum and
+ * leader leases.
  *
- * A pure step. Nothing that it promises to another replica leaves before the
- * write that the promise rests on has synced. Not thread-safe.
+ * A deterministic state machine without I/O. A message that makes a promise to
+ * another replica is sent only after the write that backs the promise has
+ * synced. Not thread-safe.
  */
 class Consensus
 {
 public:
   /**
-   * aState must have an identity; an empty folder takes no part. Tokens of
-   * writes go on after aLastToken.
+   * aState must have an identity; a replica with an empty data folder doesn't
+   * participate. New write tokens follow aLastToken.
    */
   Consensus(ConsensusOptions aOptions,
             RestoredState aState,
             TimePoint aNow,
             SyncToken aLastToken = SyncToken());
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Handles one event and returns the effects for the host to carry out, in
+   * order.
+   */
   ConsensusEffects Step(const ConsensusEvent& aEvent, TimePoint aNow);
 
   ReplicaId Self() const { return mSelf; }
   Role CurrentRole() const { return mRole; }
   Term CurrentTerm() const { return mVote.mTerm; }
-  /** The leader of the current term; unset when it isn't known. */
+  /** The leader of the current term; unset when it is unknown. */
   ReplicaId Leader() const { return mLeader; }
   LogIndex LastIndex() const { return mLog.LastIndex(); }
   LogIndex Commit() const { return mCommit; }
-  /** The newest write that was given out. */
+  /** The token of the latest write that was issued. */
   SyncToken LastToken() const { return mLastToken; }
-  /** Entries kept in memory. */
+  /** The number of entries held in memory. */
   std::size_t LogSize() const { return mLog.Size(); }
   /** The newest replica set in the log, committed or not. */
   const ReplicaSet& Replicas() const { return mSets.back().mSet; }
-  /** Returns true iff no change of the replica set is under way. */
+  /** Returns true iff no change of the replica set is in progress. */
   bool ReplicaSetSettled() const;
   /**
    * Returns true iff this replica leads, has committed an entry of its own
-   * term, and no other replica can lead at aNow: its state is the newest.
+   * term, and no other replica can lead at aNow. Its state is then the newest.
    */
   bool LeaseHolds(TimePoint aNow) const;
   /**
-   * The process that bears the identity has ended, and its disk is lost: nobody
-   * will ever speak or have spoken for it in this process's life.
+   * Records that the process with this identity has ended and its disk is lost,
+   * so no process has sent or will send messages under the identity during the
+   * lifetime of this process.
+   */
+  void RecordEndedReplica(ReplicaId aReplica)
+  {
+    mEndedReplicas.insert(aReplica);
+  }
+  /**
+   * Returns true iff this replica leads or received a message from the leader
+   * within aTime.
    */
-  void NoteEnded(ReplicaId aReplica) { mEnded.insert(aReplica); }
-  /** Returns true iff it leads, or has heard the leader in this time. */
   bool HeardLeaderWithin(Duration aTime, TimePoint aNow) const;
-  /** What the leader knows of the others; empty on a follower. */
+  /** The replication progress of the other replicas; empty on a follower. */
   const std::map<ReplicaId, FollowerProgress>& Progress() const
   {
     return mProgress;
@@ -90,7 +104,7 @@
     LogIndex mIndex;
     ReplicaSet mSet;
   };
-  struct HeldMessage
+  struct MessageAwaitingSync
   {
     SyncToken mToken;
     SendReplicaEffect mSend;
@@ -109,35 +123,41 @@
   };
 
   // Events.
-  void Take(const ReplicaMessageEvent& aEvent);
-  void Take(const SyncedEvent& aEvent);
-  void Take(const ProposeEvent& aEvent);
-  void Take(const CompactEvent& aEvent);
-  void Take(const TickEvent& aEvent);
+  void Handle(const ReplicaMessageEvent& aEvent);
+  void Handle(const SyncedEvent& aEvent);
+  void Handle(const ProposeEvent& aEvent);
+  void Handle(const CompactEvent& aEvent);
+  void Handle(const TickEvent& aEvent);
 
   // Messages.
-  void TakeMessage(ReplicaId aFrom, const VoteRequest& aRequest);
-  void TakeMessage(ReplicaId aFrom, const VoteReply& aReply);
-  void TakeMessage(ReplicaId aFrom, const AppendRequest& aRequest);
-  void TakeMessage(ReplicaId aFrom, const AppendReply& aReply);
-  void TakeMessage(ReplicaId aFrom, const InstallSnapshot& aRequest);
+  void HandleMessage(ReplicaId aFrom, const VoteRequest& aRequest);
+  void HandleMessage(ReplicaId aFrom, const VoteReply& aReply);
+  void HandleMessage(ReplicaId aFrom, const AppendRequest& aRequest);
+  void HandleMessage(ReplicaId aFrom, const AppendReply& aReply);
+  void HandleMessage(ReplicaId aFrom, const InstallSnapshot& aRequest);
   template<typename Other>
-  void TakeMessage(ReplicaId, const Other&)
+  void HandleMessage(ReplicaId, const Other&)
   {
   }
 
   // Elections.
   void ResetElectionTimer();
-  /** Asks for pre-votes soon while the replica has only just started: within
-   * half of so many eager periods to all of them. */
-  void SetEagerTimer(int aPeriods);
-  bool HearsLeader() const;
-  /** The replica has led nobody and heard no leader since it started. */
-  bool KnowsNoLeader() const { return !mHadLeader; }
+  /**
+   * Schedules an early election attempt while the replica has only just
+   * started: after a random time between half of and all of aPeriods startup
+   * election periods. Falls back to the normal election timer otherwise.
+   */
+  void SetStartupElectionTimer(int aPeriods);
+  bool HasHeardLeaderRecently() const;
+  /**
+   * Returns true iff the replica has neither led nor heard from a leader since
+   * it started.
+   */
+  bool HasSeenNoLeader() const { return !mHadLeader; }
   bool IsUpToDate(const VoteRequest& aRequest) const;
   void StartPreVote();
   void StartElection();
-  void AskForVotes(bool aPreVote);
+  void RequestVotes(bool aPreVote);
   void CountVote(ReplicaId aFrom);
   bool AllRestarted() const;
   void CountRestarted(ReplicaId aFrom);
@@ -148,17 +168,19 @@
   void Broadcast();
   void SendAppend(ReplicaId aTo, FollowerProgress& aProgress);
   void SendSnapshot(ReplicaId aTo, FollowerProgress& aProgress);
-  void TakeAccepted(FollowerProgress& aProgress, LogIndex aIndex);
-  void TakeRefused(FollowerProgress& aProgress, LogIndex aIndex);
+  void HandleAppendAccepted(FollowerProgress& aProgress, LogIndex aIndex);
+  void HandleAppendRejected(FollowerProgress& aProgress, LogIndex aIndex);
   void AdvanceCommit();
   void CheckQuorum();
-  std::optional<TimePoint> QuorumAnsweredAt(TimePoint aNow) const;
+  std::optional<TimePoint> QuorumAcknowledgedAt(TimePoint aNow) const;
   void RefreshProgress();
 
   // The follower's side.
   bool AcceptLeader(ReplicaId aFrom, Term aTerm);
-  /** Returns from where a leader's log may differ from this one. */
-  LogIndex FirstDoubtful(LogIndex aPrevious) const;
+  /**
+   * Returns the first index at which the leader's log may differ from this one.
+   */
+  LogIndex FirstPossiblyDivergent(LogIndex aPrevious) const;
   void MergeEntries(const std::vector<LogEntry>& aEntries);
   void ReplyAppend(ReplicaId aTo,
                    RoundNumber aRound,
@@ -191,19 +213,28 @@
 
   Role mRole = Role::kFollower;
   ReplicaId mLeader;
-  /** No vote before this: a leader may count on this replica's silence. */
+  /**
+   * When a message from a leader was last received. No vote is granted within
+   * the election timeout after it, because the leader's lease relies on that.
+   */
   TimePoint mHeardLeaderAt;
   TimePoint mElectionAt;
   TimePoint mStartedAt;
-  /** It led, or heard a leader, since it started. */
+  /** Whether it has led or heard from a leader since it started. */
   bool mHadLeader = false;
   std::set<ReplicaId> mVotes;
-  /** Voters that restarted and know no leader, by this round of pre-votes. */
+  /**
+   * Voters that, in this round of pre-votes, reported a restart and no known
+   * leader.
+   */
   std::set<ReplicaId> mRestarted;
-  /** Replicas whose identity is over; see NoteEnded. */
-  std::set<ReplicaId> mEnded;
-  /** A restarted replica of a smaller id is to be elected until then. */
-  TimePoint mYieldsUntil;
+  /** Replicas whose identity has ended; see RecordEndedReplica. */
+  std::set<ReplicaId> mEndedReplicas;
+  /**
+   * Until then this replica leaves the election to a restarted replica with a
+   * smaller id.
+   */
+  TimePoint mDefersElectionUntil;
 
   std::map<ReplicaId, FollowerProgress> mProgress;
   RoundNumber mRound;
@@ -216,8 +247,8 @@
   SyncToken mLastToken;
   SyncToken mSyncedToken;
   std::deque<PendingSync> mPendingSyncs;
-  std::deque<HeldMessage> mHeld;
-  /** Own entries up to here are on the disk. */
+  std::deque<MessageAwaitingSync> mMessagesAwaitingSync;
+  /** The replica's own entries up to this index are synced to disk. */
   LogIndex mDurable;
 };
 
--- a/include/peridotspool/control/ControlEffect.h
+++ b/include/peridotspool/control/ControlEffect.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peridotspool/control/OperatorAnswer.h"
+#include "peridotspool/control/OperatorResponse.h"
 #include "peridotspool/control/PersistEffect.h"
 #include "peridotspool/control/ReplicaMessage.h"
 #include "peridotspool/membership/EntryMessage.h"
@@ -12,25 +12,25 @@
 
 namespace peridotspool::control {
 
-/** Send a message to another control replica; it may be lost. */
+/** Sends a message to another control replica; the message may be lost. */
 struct ToReplicaEffect
 {
   Address mTo;
   ReplicaEnvelope mEnvelope;
 };
 
-/** Send a message on the connection that this entry process spoke on last. */
+/** Sends a message on the connection that this entry process used last. */
 struct ToEntryEffect
 {
   membership::EntryNonce mTo;
   membership::ToEntryMessage mMessage;
 };
 
-/** The answer to an OperatorEvent; exactly one for each. */
-struct AnswerEffect
+/** The response to an OperatorEvent; exactly one for each. */
+struct ResponseEffect
 {
   CallId mCall;
-  OperatorAnswer mAnswer;
+  OperatorResponse mAnswer;
 };
 
 enum class ControlNotice
@@ -66,18 +66,18 @@
                     kVoteHeard,
                     kVoteAnswered)
 
-/** For the host's log. */
+/** An event for the host's log. */
 struct NoticeEffect
 {
   ControlNotice mNotice = ControlNotice::kTookLead;
-  /** key=value pairs. */
+  /** The event's fields as key=value pairs. */
   std::string mText;
 };
 
 using ControlEffect = std::variant<ToReplicaEffect,
                                    ToEntryEffect,
                                    PersistEffect,
-                                   AnswerEffect,
+                                   ResponseEffect,
                                    NoticeEffect>;
 using ControlEffects = std::vector<ControlEffect>;
 
--- a/include/peridotspool/control/MachineState.h
+++ b/include/peridotspool/control/MachineState.h
@@ -2,8 +2,8 @@
 
 #include "peridotspool/control/MembershipState.h"
 #include "peridotspool/control/SettingsState.h"
+#include "peridotspool/gateway/PeerMessage.h"
 #include "peridotspool/gateway/QuotaFloors.h"
-#include "peridotspool/gateway/SharedMessage.h"
 #include "peridotspool/rollout/RolloutTable.h"
 #include "peridotspool/routing/Quarantine.h"
 
@@ -11,13 +11,16 @@
 
 namespace peridotspool::control {
 
-/** All that the control log's commands change, apart from the replica set. */
+/**
+ * The whole state that commands of the control log change, except the replica
+ * set.
+ */
 struct MachineState
 {
   SettingsState mSettings;
   MembershipState mMembership;
   FencingNumber mLastFencing;
-  /** The last windows of usage that were settled, in rising order. */
+  /** The latest windows of usage with final values, in ascending order. */
   std::vector<gateway::UsageWindow> mUsage;
   routing::QuarantineTable mQuarantine;
   rollout::RolloutTable mRollouts;
--- a/include/peridotspool/fleet/FleetPlanner.h
+++ b/include/peridotspool/fleet/FleetPlanner.h
@@ -16,20 +16,24 @@
 namespace peridotspool::fleet {
 
 /**
- * Decides which instances to start and to stop, and where. Lives on the control
- * leader and begins anew with each one: the cloud's list is its memory.
+ * Decides which instances to start and stop, and in which failure domains. Runs
+ * on the control leader. Each new leader starts without state and recovers it
+ * from the cloud's list of instances.
  *
- * A pure step without clock, thread or socket. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class FleetPlanner
 {
 public:
   explicit FleetPlanner(FleetOptions aOptions);
 
-  /** Takes one event and returns what the host is to do, in order. */
+  /**
+   * Processes one event and returns the effects that the host carries out in
+   * order.
+   */
   FleetEffects Step(const FleetEvent& aEvent, TimePoint aNow);
 
-  /** How many instances a service is to have now. */
+  /** Returns the number of instances that a service should have now. */
   std::uint32_t Wanted(const ServiceName& aService) const;
   std::size_t Starting() const { return mStarts.size(); }
 
@@ -38,7 +42,7 @@
   {
     ServiceName mService;
     OfferKey mOffer;
-    TimePoint mAskedAt;
+    TimePoint mRequestedAt;
   };
   struct Service
   {
@@ -49,35 +53,35 @@
     std::optional<TimePoint> mSurplusSince;
   };
 
-  void Take(const DemandEvent& aEvent);
-  void Take(const OffersEvent& aEvent);
-  void Take(const ListedEvent& aEvent);
-  void Take(const StartedEvent& aEvent);
-  void Take(const StartRefusedEvent& aEvent);
-  void Take(const ServingEvent& aEvent);
-  void Take(const ReclaimNoticeEvent& aEvent);
-  void Take(const InstanceGoneEvent& aEvent);
-  void Take(const DrainedEvent& aEvent);
-  void Take(const LatencyEvent& aEvent);
-  void Take(const FleetTickEvent& aEvent);
+  void Handle(const DemandEvent& aEvent);
+  void Handle(const OffersEvent& aEvent);
+  void Handle(const ListedEvent& aEvent);
+  void Handle(const StartedEvent& aEvent);
+  void Handle(const StartRefusedEvent& aEvent);
+  void Handle(const ServingEvent& aEvent);
+  void Handle(const ReclaimNoticeEvent& aEvent);
+  void Handle(const InstanceGoneEvent& aEvent);
+  void Handle(const DrainedEvent& aEvent);
+  void Handle(const LatencyEvent& aEvent);
+  void Handle(const FleetTickEvent& aEvent);
 
-  void TakeUnlisted(const InstanceInfo& aInstance,
-                    std::map<InstanceName, InstanceInfo>& aListed);
+  void HandleUnlisted(const InstanceInfo& aInstance,
+                      std::map<InstanceName, InstanceInfo>& aListed);
   void Refuse(StartId aStart);
   void RecordUse();
   void ExpireStarts();
   void StartMissing();
   bool StartOne(Service& aService);
   void DrainSurplus(Service& aService);
-  std::size_t Holds(const ServiceName& aService) const;
-  std::size_t HoldsIn(const ServiceName& aService,
-                      const FailureDomain& aDomain) const;
+  std::size_t CountInstances(const ServiceName& aService) const;
+  std::size_t CountInDomain(const ServiceName& aService,
+                            const FailureDomain& aDomain) const;
   const Offer* BestOffer(const Service& aService) const;
   bool MayTry(const OfferKey& aOffer) const;
-  bool FitsShare(const Service& aService, const OfferKey& aOffer) const;
+  bool FitsDomainShare(const Service& aService, const OfferKey& aOffer) const;
   double Score(const Service& aService, const Offer& aOffer) const;
-  double PriceOf(const OfferKey& aOffer) const;
-  void Decide(const ServiceName& aService, std::string aReason);
+  double PricePerHour(const OfferKey& aOffer) const;
+  void EmitDecision(const ServiceName& aService, std::string aReason);
 
   FleetOptions mOptions;
   TimePoint mNow;
@@ -87,7 +91,9 @@
   std::map<ServiceName, Service> mServices;
   std::vector<Offer> mOffers;
   std::map<InstanceName, InstanceInfo> mInstances;
-  /** When instances were first heard of, until the cloud has listed them. */
+  /**
+   * When instances were first reported, until the cloud's list contains them.
+   */
   std::map<InstanceName, TimePoint> mUnlisted;
   std::map<StartId, Start> mStarts;
   StartId mLastStart;
--- a/include/peridotspool/fleet/OfferBackoff.h
+++ b/include/peridotspool/fleet/OfferBackoff.h
@@ -9,17 +9,20 @@
 
 namespace peridotspool::fleet {
 
-/** Leaves refused offers alone for a while, longer each time. */
+/** Exponential back-off with jitter for offers whose starts were refused. */
 class OfferBackoff
 {
 public:
-  OfferBackoff(Duration aFirst, Duration aMost, std::uint64_t aSeed);
+  OfferBackoff(Duration aInitial, Duration aMax, std::uint64_t aSeed);
 
-  void TakeRefusal(const OfferKey& aOffer, TimePoint aNow);
-  void TakeSuccess(const OfferKey& aOffer);
-  /** Returns true iff the offer may be tried. */
+  void RecordRefusal(const OfferKey& aOffer, TimePoint aNow);
+  void RecordSuccess(const OfferKey& aOffer);
+  /** Returns true iff the offer's back-off has elapsed. */
   bool IsOpen(const OfferKey& aOffer, TimePoint aNow) const;
-  /** Returns true iff the last start was refused: it is tried with one. */
+  /**
+   * Returns true iff the last start of the offer was refused. Such an offer is
+   * probed with a single start.
+   */
   bool WasRefused(const OfferKey& aOffer) const;
 
 private:
@@ -29,8 +32,8 @@
     TimePoint mUntil;
   };
 
-  Duration mFirst;
-  Duration mMost;
+  Duration mInitial;
+  Duration mMax;
   std::mt19937_64 mRandom;
   std::map<OfferKey, Entry> mEntries;
 };
--- a/include/peridotspool/fleet/PoolPlanner.h
+++ b/include/peridotspool/fleet/PoolPlanner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/fleet/DutyCall.h"
+#include "peridotspool/fleet/CloudCall.h"
 #include "peridotspool/gateway/ServiceProfile.h"
 
 #include <cstdint>
@@ -14,34 +14,44 @@
 
 struct PoolOptions
 {
-  /** Upstreams of a service that are kept even without load. */
-  std::uint32_t mLeast = 8;
-  /** Requests that run at one upstream when the pool is as large as wanted. */
-  double mRunningEach = 3.5;
-  /** An order is repeated when nothing came of it for boot time and this. */
-  Duration mPatience = std::chrono::seconds(3);
-  /** A refused order is tried again after this long. Reclaims of one domain
-   * after the other leave gaps of a second in which there are some to be had;
-   * with 1.5 s between two tries three of ten were missed. */
-  Duration mRefusedFor = std::chrono::milliseconds(500);
-  /** Before any load no upstream is given up for this long: those that run
-   * already have to be heard first. */
-  Duration mListenFor = std::chrono::milliseconds(1500);
-  /** Fewer upstreams are ordered only after they were too many this long. */
+  /** Minimum number of upstreams of a service, even without load. */
+  std::uint32_t mMinUpstreams = 8;
+  /** Target number of requests running at each upstream. */
+  double mTargetConcurrency = 3.5;
+  /**
+   * An order is repeated if it has had no effect after the boot time plus this
+   * timeout.
+   */
+  Duration mOrderTimeout = std::chrono::seconds(3);
+  /**
+   * Time before a refused order is retried. When the cloud reclaims one domain
+   * after another, capacity may be available for only a second in between;
+   * retrying every 1.5 s missed three of ten such gaps.
+   */
+  Duration mRefusedOrderBackoff = std::chrono::milliseconds(500);
+  /**
+   * Before any load, on-demand upstreams are not released for this long,
+   * because the heartbeats of running upstreams have to arrive first.
+   */
+  Duration mObservationPeriod = std::chrono::milliseconds(1500);
+  /** The pool shrinks only after it was too large for this long. */
   Duration mShrinkAfter = std::chrono::seconds(8);
-  /** Then by half at the most, and by half again after this long. */
-  Duration mShrinkEach = std::chrono::seconds(3);
-  /** None are given up for this long after others were refused... */
-  Duration mDryFor = std::chrono::seconds(3);
-  /** ...but too many are not kept for longer than this. */
-  Duration mKeepMost = std::chrono::seconds(25);
-  /** With fewer reclaimable ones than this part, lasting ones are taken. */
-  double mLastingPart = 0.5;
-  /** Lasting ones are kept at least this long. */
-  Duration mLastingFor = std::chrono::seconds(3);
+  /** Each step at most halves the pool; this is the time between steps. */
+  Duration mShrinkInterval = std::chrono::seconds(3);
+  /** The pool does not shrink for this long after an order was refused... */
+  Duration mShortageHold = std::chrono::seconds(3);
+  /** ...but an excess does not last longer than this. */
+  Duration mMaxShrinkDelay = std::chrono::seconds(25);
+  /**
+   * On-demand upstreams are ordered when the number of reclaimable ones falls
+   * below this share of the wanted number.
+   */
+  double mOnDemandShare = 0.5;
+  /** Minimum time for which on-demand upstreams are retained. */
+  Duration mMinOnDemandTime = std::chrono::seconds(3);
 };
 
-/** Ready upstreams of one kind in one failure domain. */
+/** Identifies the upstreams of one purchase kind in one failure domain. */
 struct PoolKey
 {
   FailureDomain mDomain;
@@ -50,92 +60,103 @@
   auto operator<=>(const PoolKey&) const = default;
 };
 
-/** What is known of one service when its pool is planned. */
+/** The known state of one service when its pool is planned. */
 struct PoolView
 {
   std::map<PoolKey, std::uint32_t> mReady;
-  /** Requests that run at all its upstreams. */
+  /** Requests running at all upstreams of the service. */
   double mRunning = 0.0;
 };
 
 /**
- * How many upstreams of one service to have, where and of which kind.
- * Reclaimable ones cost a fraction and are spread over all failure domains, so
- * that a reclaimed domain takes a part only; lasting ones are given up once
- * reclaimable ones stand in for them, and taken where those are refused.
+ * Plans how many upstreams a service has in each failure domain and of which
+ * purchase kind. Reclaimable upstreams cost a fraction of on-demand ones. They
+ * are spread over all failure domains, so a reclaimed domain removes only a
+ * part. On-demand upstreams are ordered where reclaimable ones are refused, and
+ * released once reclaimable ones have replaced them.
  *
- * A pure step. Not thread-safe.
+ * A state machine without clock, threads or sockets. Not thread-safe.
  */
 class PoolPlanner
 {
 public:
   explicit PoolPlanner(PoolOptions aOptions);
 
-  /** Returns the orders to give now. */
+  /** Returns the orders to send now. */
   std::vector<PoolOrder> Plan(const gateway::ServiceProfile& aService,
                               const PoolView& aView,
                               TimePoint aNow);
-  /** Says how an order ended; aRefused: there are none to be had. */
-  void TakeResult(const PoolOrder& aOrder,
-                  bool aDone,
-                  bool aRefused,
-                  TimePoint aNow);
-  /** Upstreams wanted in all, as last planned. */
+  /**
+   * Records the result of an order; aRefused means that the cloud has a
+   * capacity shortage.
+   */
+  void HandleResult(const PoolOrder& aOrder,
+                    bool aDone,
+                    bool aRefused,
+                    TimePoint aNow);
+  /** Returns the total number of upstreams wanted by the last plan. */
   std::uint32_t Wanted() const { return mWanted; }
 
 private:
   struct Slot
   {
-    /** The last order that the cloud took. */
+    /** The last order that the cloud accepted. */
     std::optional<std::uint32_t> mOrdered;
     TimePoint mOrderedAt;
-    bool mUnderWay = false;
+    bool mOrderPending = false;
     TimePoint mRefusedUntil;
   };
 
-  bool Listens(TimePoint aNow) const;
-  std::uint32_t WantedInAll(const gateway::ServiceProfile& aService,
+  bool IsObserving(TimePoint aNow) const;
+  std::uint32_t TotalWanted(const gateway::ServiceProfile& aService,
                             const PoolView& aView,
                             TimePoint aNow);
-  std::uint32_t Shrunk(std::uint32_t aWanted, TimePoint aNow);
-  void NoteFound(const gateway::ScalingProfile& aScaling,
-                 const PoolView& aView,
-                 TimePoint aNow);
+  std::uint32_t ShrinkTarget(std::uint32_t aWanted, TimePoint aNow);
+  void RecordDiscovered(const gateway::ScalingProfile& aScaling,
+                        const PoolView& aView,
+                        TimePoint aNow);
   void Place(const gateway::ServiceProfile& aService,
              const PoolView& aView,
              TimePoint aNow,
              std::map<PoolKey, std::uint32_t>& aDesired);
-  bool IsDry(TimePoint aNow) const;
-  std::uint32_t LackingNow(const PoolView& aView, TimePoint aNow) const;
-  std::uint32_t Lacking(const PoolView& aView, TimePoint aNow);
-  static void PlaceLasting(
+  bool HasShortage(TimePoint aNow) const;
+  std::uint32_t CurrentOnDemandNeed(const PoolView& aView,
+                                    TimePoint aNow) const;
+  std::uint32_t OnDemandNeed(const PoolView& aView, TimePoint aNow);
+  static void PlaceOnDemand(
     const PoolView& aView,
     const std::vector<std::pair<double, FailureDomain>>& aDomains,
     std::uint32_t aWanted,
-    std::uint32_t aMost,
+    std::uint32_t aMax,
     std::map<PoolKey, std::uint32_t>& aDesired);
-  bool IsDue(const Slot& aSlot,
-             std::uint32_t aReady,
-             std::uint32_t aDesired,
-             Duration aBoot,
-             TimePoint aNow) const;
+  bool IsOrderDue(const Slot& aSlot,
+                  std::uint32_t aReady,
+                  std::uint32_t aDesired,
+                  Duration aBoot,
+                  TimePoint aNow) const;
 
   PoolOptions mOptions;
   std::map<PoolKey, Slot> mSlots;
   std::uint32_t mWanted = 0;
   bool mLoadSeen = false;
-  /** The most that ran before any load without having been ordered here. */
-  std::uint32_t mFoundLasting = 0;
-  std::uint32_t mFoundReclaimable = 0;
-  bool mLastingOrdered = false;
-  std::optional<TimePoint> mPlansSince;
-  std::optional<TimePoint> mTooManySince;
-  /** When fewer were wanted for long enough, and there were fewer then. */
-  std::optional<TimePoint> mShrunkAt;
+  /**
+   * Largest numbers of upstreams found running before any load. Upstreams that
+   * this planner ordered do not count.
+   */
+  std::uint32_t mDiscoveredOnDemand = 0;
+  std::uint32_t mDiscoveredReclaimable = 0;
+  bool mOnDemandOrdered = false;
+  std::optional<TimePoint> mPlanningSince;
+  std::optional<TimePoint> mExcessSince;
+  /**
+   * When the last step of a shrink was made; unset while the pool is not
+   * shrinking.
+   */
+  std::optional<TimePoint> mLastShrinkAt;
   std::optional<TimePoint> mRefusedAt;
-  /** Lasting upstreams that stand in for reclaimable ones. */
-  std::uint32_t mLacking = 0;
-  TimePoint mLackingAt;
+  /** On-demand upstreams needed in place of missing reclaimable ones. */
+  std::uint32_t mOnDemandNeed = 0;
+  TimePoint mOnDemandNeededAt;
 };
 
 } // namespace peridotspool::fleet
--- /dev/null
+++ b/include/peridotspool/gateway/LoadCoordinator.h
@@ -0,0 +1,58 @@
+#pragma once
+
+#include "peridotspool/base/Time.h"
+#include "peridotspool/gateway/FailureRate.h"
+#include "peridotspool/gateway/LoadMessage.h"
+#include "peridotspool/gateway/PrefillQueue.h"
+#include "peridotspool/gateway/PrefixCacheModel.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <unordered_map>
+
+namespace peridotspool::gateway {
+
+/**
+ * Tracks the sends of all entries to the upstreams that this entry coordinates.
+ * The state is in memory only. After a loss, the counts of running sends are
+ * correct again once the requests in flight at that moment have ended, and the
+ * cached prefixes are relearned as they are used.
+ *
+ * Does no I/O and reads no clock. Not thread-safe.
+ */
+class LoadCoordinator
+{
+public:
+  void Handle(const SendStartedReport& aReport, TimePoint aNow);
+  void Handle(const PrefillDoneReport& aReport, TimePoint aNow);
+  void Handle(const SendEndedReport& aReport, TimePoint aNow);
+  LoadResponse HandleQuery(const LoadQuery& aQuery, TimePoint aNow) const;
+  /**
+   * Removes sends whose end was never reported, and idle records without sends.
+   */
+  void RemoveExpired(TimePoint aNow);
+
+  std::size_t RecordCount() const { return mRecords.size(); }
+
+private:
+  struct Send
+  {
+    Duration mPrefillTime{ 0 };
+    /** Expected end of its prefill, as planned when it was sent. */
+    TimePoint mPrefillDueAt;
+    TimePoint mSentAt;
+  };
+  struct UpstreamRecord
+  {
+    Incarnation mIncarnation;
+    PrefillQueue mPrefillQueue;
+    PrefixCacheModel mPrefixes;
+    FailureRate mFailures;
+    std::unordered_map<std::uint64_t, Send> mSends;
+    TimePoint mUsedAt;
+  };
+
+  std::unordered_map<UpstreamName, UpstreamRecord> mRecords;
+};
+
+} // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/LoadMessage.h
+++ b/include/peridotspool/gateway/LoadMessage.h
@@ -10,90 +10,95 @@
 
 namespace peridotspool::gateway {
 
-/** To a keeper: how loaded are these upstreams? */
-struct LoadAsk
+/** To a coordinator: requests the load of these upstreams. */
+struct LoadQuery
 {
-  /** The asking entry's number of the question. */
+  /** Identifies the query at the entry that sends it. */
   std::uint64_t mTag = 0;
   std::vector<UpstreamName> mUpstreams;
-  /** Of the prompt that one of them is to read. */
+  /** Parts of the prompt to be placed. */
   std::vector<PromptPart> mParts;
 
-  auto operator<=>(const LoadAsk&) const = default;
+  auto operator<=>(const LoadQuery&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(LoadAsk, (), (mTag, mUpstreams, mParts))
+BOOST_DESCRIBE_STRUCT(LoadQuery, (), (mTag, mUpstreams, mParts))
 
-/** What a keeper knows of one upstream. */
-struct LoadLine
+/** A coordinator's estimate for one upstream. */
+struct UpstreamLoad
 {
   UpstreamName mUpstream;
-  /** Until the prompts that were sent there will have been read. */
+  /** Time until all prompts sent there so far have been prefilled. */
   std::uint32_t mWaitUs = 0;
-  /** Requests that all entries together have there. */
+  /** Requests of all entries in flight there. */
   std::uint32_t mRunning = 0;
-  /** Tokens of the prompt asked for that it need not read again. */
-  std::uint32_t mKept = 0;
-  /** Of 100 sends that ended lately, how many it failed. */
-  std::uint32_t mFailing = 0;
-
-  auto operator<=>(const LoadLine&) const = default;
+  /**
+   * Tokens of the queried prompt that the upstream holds in its prefix cache.
+   */
+  std::uint32_t mCachedTokens = 0;
+  /** Percentage of recently ended sends that the upstream failed. */
+  std::uint32_t mFailurePercent = 0;
+
+  auto operator<=>(const UpstreamLoad&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(LoadLine,
-                      (),
-                      (mUpstream, mWaitUs, mRunning, mKept, mFailing))
+BOOST_DESCRIBE_STRUCT(
+  UpstreamLoad,
+  (),
+  (mUpstream, mWaitUs, mRunning, mCachedTokens, mFailurePercent))
 
-/** From a keeper: a line for each upstream that was asked for. */
-struct LoadTold
+/** From a coordinator: the load of each queried upstream. */
+struct LoadResponse
 {
   std::uint64_t mTag = 0;
-  std::vector<LoadLine> mLines;
+  std::vector<UpstreamLoad> mLoads;
 
-  auto operator<=>(const LoadTold&) const = default;
+  auto operator<=>(const LoadResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(LoadTold, (), (mTag, mLines))
+BOOST_DESCRIBE_STRUCT(LoadResponse, (), (mTag, mLoads))
 
-/** To a keeper: a request was sent to this upstream. */
-struct LoadSent
+/** To a coordinator: a request was sent to this upstream. */
+struct SendStartedReport
 {
   UpstreamName mUpstream;
   Incarnation mIncarnation;
-  /** Names the send among those of all entries. */
-  std::uint64_t mSend = 0;
-  /** What reading its prompt is expected to take. */
-  std::uint32_t mReadUs = 0;
+  /** Unique among the sends of all entries. */
+  std::uint64_t mSendId = 0;
+  /** Expected prefill time of its prompt. */
+  std::uint32_t mPrefillUs = 0;
   std::vector<PromptPart> mParts;
-  /** Tokens that the engine's memory holds; 0 if unknown. */
-  std::uint64_t mMemory = 0;
+  /** Capacity of the engine's memory in tokens; 0 if unknown. */
+  std::uint64_t mCacheTokens = 0;
 
-  auto operator<=>(const LoadSent&) const = default;
+  auto operator<=>(const SendStartedReport&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(
-  LoadSent,
+  SendStartedReport,
   (),
-  (mUpstream, mIncarnation, mSend, mReadUs, mParts, mMemory))
+  (mUpstream, mIncarnation, mSendId, mPrefillUs, mParts, mCacheTokens))
 
-/** To a keeper: its prompt has just been read. */
-struct LoadBegun
+/** To a coordinator: the prefill of this send has just finished. */
+struct PrefillDoneReport
 {
   UpstreamName mUpstream;
-  std::uint64_t mSend = 0;
+  std::uint64_t mSendId = 0;
 
-  auto operator<=>(const LoadBegun&) const = default;
+  auto operator<=>(const PrefillDoneReport&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(LoadBegun, (), (mUpstream, mSend))
+BOOST_DESCRIBE_STRUCT(PrefillDoneReport, (), (mUpstream, mSendId))
 
-/** To a keeper: the upstream has nothing to do for it any more. */
-struct LoadEnded
+/** To a coordinator: this send needs no more work from the upstream. */
+struct SendEndedReport
 {
   UpstreamName mUpstream;
-  std::uint64_t mSend = 0;
-  /** It gave an event, so its prompt has been read. */
-  bool mWasRead = false;
-  /** The upstream failed it, or its connection broke. */
+  std::uint64_t mSendId = 0;
+  /** The upstream returned an event, so the prefill had finished. */
+  bool mPrefillDone = false;
+  /** The upstream failed the request, or the connection broke. */
   bool mFailed = false;
 
-  auto operator<=>(const LoadEnded&) const = default;
+  auto operator<=>(const SendEndedReport&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(LoadEnded, (), (mUpstream, mSend, mWasRead, mFailed))
+BOOST_DESCRIBE_STRUCT(SendEndedReport,
+                      (),
+                      (mUpstream, mSendId, mPrefillDone, mFailed))
 
 } // namespace peridotspool::gateway
--- /dev/null
+++ b/include/peridotspool/gateway/MedianClock.h
@@ -0,0 +1,37 @@
+#pragma once
+
+#include "peridotspool/base/Time.h"
+
+#include <cstdint>
+#include <map>
+#include <optional>
+
+namespace peridotspool::gateway {
+
+/**
+ * The median of all processes' wall clocks. A single clock, also the leader's
+ * own, may jump by seconds; the median does not follow it.
+ *
+ * Does no I/O and reads no clock. Not thread-safe.
+ */
+class MedianClock
+{
+public:
+  /** Records a process's wall clock time, as received at aNow. */
+  void RecordReading(std::uint64_t aProcess,
+                     std::int64_t aMicros,
+                     TimePoint aNow);
+  /** Returns the median wall clock time; empty before the first reading. */
+  std::optional<std::int64_t> Micros(TimePoint aNow) const;
+
+private:
+  struct Reading
+  {
+    /** Wall clock less the local monotonic clock, in microseconds. */
+    std::int64_t mOffset = 0;
+    TimePoint mReadAt;
+  };
+  std::map<std::uint64_t, Reading> mReadings;
+};
+
+} // namespace peridotspool::gateway
--- a/include/peridotspool/gateway/SentRequest.h
+++ b/include/peridotspool/gateway/SentRequest.h
@@ -8,24 +8,26 @@
 
 namespace peridotspool::gateway {
 
-/** One send to one incarnation of an upstream. */
+/** One send of a request to one incarnation of an upstream. */
 struct SentRequest
 {
   UpstreamName mName;
   Incarnation mIncarnation;
-  std::uint64_t mReads = 0;
-  /** What reading its prompt is expected to take. */
-  Duration mReading{ 0 };
+  std::uint64_t mPrefillTokens = 0;
+  /** Expected prefill time of its prompt. */
+  Duration mPrefillTime{ 0 };
   TimePoint mSentAt;
-  /** When its prompt is expected to have been read; unset once it was. */
-  TimePoint mReadAt;
-  /** When its first event came; unset before. */
-  TimePoint mBegunAt;
-  /** The engine had no other prompt to read when it was sent, as far as was
-   * known. */
-  bool mAlone = false;
+  /** Planned end of its prefill; unset once the first event has arrived. */
+  TimePoint mPrefillDueAt;
+  /** Arrival of its first event; unset before. */
+  TimePoint mFirstEventAt;
+  /**
+   * As far as was known, the engine had no other prompt to prefill when this
+   * one was sent.
+   */
+  bool mPrefillQueueWasEmpty = false;
 
-  bool IsReading() const { return mReadAt != TimePoint(); }
+  bool IsPrefilling() const { return mPrefillDueAt != TimePoint(); }
   auto operator<=>(const SentRequest&) const = default;
 };
 
--- /dev/null
+++ b/include/peridotspool/gateway/UpstreamSelector.h
@@ -0,0 +1,285 @@
+#pragma once
+
+#include "peridotspool/base/Time.h"
+#include "peridotspool/gateway/LoadMessage.h"
+#include "peridotspool/gateway/PendingLoadQueries.h"
+#include "peridotspool/gateway/PrefillQueue.h"
+#include "peridotspool/gateway/PrefillRate.h"
+#include "peridotspool/gateway/PromptParts.h"
+#include "peridotspool/gateway/SentRequest.h"
+#include "peridotspool/membership/UpstreamDirectory.h"
+#include "peridotspool/rollout/RolloutGate.h"
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+namespace peridotspool::gateway {
+
+/** Result of a send to an upstream. */
+enum class SendResult
+{
+  /**
+   * The upstream gave a complete response, successful or not, or the request
+   * was cancelled.
+   */
+  kAnswered,
+  /**
+   * The upstream rejected the request without running it because it is full.
+   */
+  kFull,
+  /** Another upstream responded at this address; the intended one is gone. */
+  kWrongUpstream,
+  /** The upstream failed the request. */
+  kFailed,
+  /** The connection could not be established, or broke. */
+  kBroken,
+  /** The upstream did not respond in time. */
+  kTimedOut,
+};
+
+struct UpstreamSelectorOptions
+{
+  /** Failure domain of this instance; preferred among equal upstreams. */
+  FailureDomain mDomain;
+  /**
+   * Length of the first ejection of an upstream whose connection breaks;
+   * doubles with each further ejection up to mMaxEjectTime.
+   */
+  Duration mMinEjectTime = std::chrono::milliseconds(700);
+  Duration mMaxEjectTime = std::chrono::milliseconds(5000);
+  /** Consecutive failures that eject an upstream that responds. */
+  std::uint32_t mFailuresToEject = 4;
+  /** Load reports older than this are ignored. */
+  Duration mReportAge = std::chrono::milliseconds(1500);
+};
+
+/** A request to select an upstream. */
+struct SelectionQuery
+{
+  ServiceName mService;
+  /** The prompt to prefill; empty for a plain call. */
+  PromptParts mPrompt;
+  /** Seed of the order of upstreams for a plain call; differs for each call. */
+  std::uint64_t mSeed = 0;
+  /** Upstreams that this request was already sent to. */
+  std::set<UpstreamName> mTried;
+  /**
+   * The request may crash its upstream, so the choice minimizes the number of
+   * other requests affected.
+   */
+  bool mPreferLeastFull = false;
+  /**
+   * No upstream of the normal shortlist can start the request in time: the
+   * coordinators of a longer one are queried.
+   */
+  bool mUseLongShortlist = false;
+  /**
+   * If not empty, restricts the choice to these upstreams as long as one of
+   * them accepts work.
+   */
+  std::vector<UpstreamName> mShortlist;
+  /**
+   * Tokens of the prompt in the prefix cache of each upstream whose coordinator
+   * has responded.
+   */
+  std::map<UpstreamName, std::uint64_t> mCachedTokens;
+  rollout::VersionFilter mVersions;
+};
+
+/** The chosen upstream and the estimates behind the choice. */
+struct UpstreamChoice
+{
+  UpstreamName mName;
+  Incarnation mIncarnation;
+  Address mAddress;
+  FailureDomain mDomain;
+  VersionName mVersion;
+  double mFullness = 0.0;
+  /**
+   * Time until the upstream has prefilled the prompts sent before, and has a
+   * free slot in its batch.
+   */
+  Duration mWait{ 0 };
+  /** Tokens that it is expected to prefill for this request. */
+  std::uint64_t mPrefillTokens = 0;
+  /** Time until the first event of a prompt sent now. */
+  Duration mExpectedFirstEvent{ 0 };
+  /** Position in the affinity order; 0 is the first. */
+  std::size_t mRank = 0;
+  std::size_t mCandidates = 0;
+  /**
+   * Upstream to copy the missing part of the prefix from: one known to cache
+   * it, or else the next in the affinity order, even if it is draining.
+   */
+  std::optional<Address> mPrefixSource;
+  /** The upstream is in the failure domain of this instance. */
+  bool mInOwnDomain = false;
+  /** The coordinator of the upstream has responded for this request. */
+  bool mLoadKnown = false;
+  /** Age of the latest load report; empty without one. */
+  std::optional<Duration> mReportAge;
+};
+
+/**
+ * Tracks the state of the upstreams as seen by one entry, from announcements,
+ * load reports and the results of its own sends, and selects an upstream for
+ * each request.
+ *
+ * Deterministic, without I/O, clock or threads. Not thread-safe.
+ */
+class UpstreamSelector
+{
+public:
+  explicit UpstreamSelector(UpstreamSelectorOptions aOptions);
+
+  /**
+   * Applies the directory's state of one upstream; null removes it. Returns
+   * true iff a later incarnation has replaced the known one.
+   */
+  bool Update(const UpstreamName& aName,
+              const membership::KnownUpstream* aKnown,
+              TimePoint aNow);
+  void ApplyLoadReport(const SentRequest& aSent,
+                       std::uint32_t aRunning,
+                       std::uint32_t aWaiting,
+                       TimePoint aNow);
+  /**
+   * Applies the load that a coordinator reports from the sends of all entries.
+   */
+  void ApplyCoordinatorLoad(const UpstreamLoad& aLoad, TimePoint aNow);
+
+  /**
+   * Returns the first few upstreams in the request's order, whose coordinators
+   * are to be queried before the choice; empty if there are fewer than two
+   * candidates.
+   */
+  std::vector<ShortlistedUpstream> Shortlist(const SelectionQuery& aQuery,
+                                             TimePoint aNow) const;
+  /** Returns empty iff no upstream may be tried. */
+  std::optional<UpstreamChoice> Choose(const SelectionQuery& aQuery,
+                                       TimePoint aNow) const;
+  /** Records a send and returns its handle for the calls below. */
+  SentRequest RecordSent(const UpstreamChoice& aChoice, TimePoint aNow);
+  /**
+   * Records the first event of the response. Returns true iff its time is
+   * evidence of how far the engine was with its prefill queue.
+   */
+  bool RecordFirstEvent(SentRequest& aSent, TimePoint aNow);
+  /**
+   * Returns true iff the result takes the upstream out of the choice: it is
+   * newly ejected, or gone.
+   */
+  bool RecordEnd(const SentRequest& aSent, SendResult aResult, TimePoint aNow);
+
+  std::size_t ReadyCount(const ServiceName& aService, TimePoint aNow) const;
+  /**
+   * Returns the expected time to the first event of a prompt without cached
+   * tokens on an idle upstream.
+   */
+  Duration UncachedFirstEventTime(const ServiceName& aService,
+                                  std::uint64_t aTokens) const;
+  /** Counts the ready upstreams of a service by version. */
+  rollout::ReadyByVersion ReadyVersions(const ServiceName& aService) const;
+  /** Counts this entry's sends in flight to upstreams of other versions. */
+  std::uint64_t RunningOtherVersions(const ServiceName& aService,
+                                     const VersionName& aVersion) const;
+  /** Counts this entry's sends in flight by service. */
+  std::map<ServiceName, std::uint64_t> Running() const;
+  /** Counts this entry's sends in flight to an upstream. */
+  std::uint32_t InFlight(const UpstreamName& aName) const;
+  /** Returns true iff the upstream accepts new work, whether ejected or not. */
+  bool IsReady(const UpstreamName& aName) const;
+
+private:
+  struct TrackedUpstream
+  {
+    membership::UpstreamReport mReport;
+    bool mSilent = false;
+    bool mGone = false;
+    std::uint32_t mInFlight = 0;
+    std::uint32_t mReported = 0;
+    std::uint32_t mInFlightAtReport = 0;
+    std::optional<TimePoint> mReportedAt;
+    std::uint32_t mFailures = 0;
+    std::uint32_t mEjections = 0;
+    TimePoint mEjectedUntil;
+    PrefillQueue mPrefillQueue;
+    /**
+     * Percentage of failed sends of all entries, from the last coordinator
+     * response.
+     */
+    std::uint32_t mFailurePercent = 0;
+  };
+
+  /** Estimated load of an upstream. */
+  struct Load
+  {
+    Duration mWait{ 0 };
+    double mFullness = 0.0;
+  };
+
+  static bool AcceptsWork(const TrackedUpstream& aUpstream);
+  static bool HasPrompt(const SelectionQuery& aQuery);
+  double FullnessOf(const TrackedUpstream& aUpstream, TimePoint aNow) const;
+  static double FailureFraction(const TrackedUpstream& aUpstream);
+  bool Eject(TrackedUpstream& aUpstream, TimePoint aNow);
+  std::vector<const TrackedUpstream*> Candidates(const SelectionQuery& aQuery,
+                                                 TimePoint aNow,
+                                                 bool aEjectedToo) const;
+  std::vector<const TrackedUpstream*> Ordered(
+    std::vector<const TrackedUpstream*> aUpstreams,
+    std::uint64_t aSeed) const;
+  std::vector<const TrackedUpstream*> Candidates(const SelectionQuery& aQuery,
+                                                 TimePoint aNow) const;
+  std::optional<Address> PrefixSourceFor(const TrackedUpstream& aChosen,
+                                         const SelectionQuery& aQuery,
+                                         TimePoint aNow) const;
+  /**
+   * Returns the queried upstream that caches more of the prompt than any other
+   * and than the chosen one; null if there is none.
+   */
+  const TrackedUpstream* FindLongestCachedPrefix(const TrackedUpstream& aChosen,
+                                                 const SelectionQuery& aQuery,
+                                                 TimePoint aNow) const;
+  TrackedUpstream* Find(const SentRequest& aSent);
+  void RecordBatchTime(const TrackedUpstream& aUpstream,
+                       const SentRequest& aSent,
+                       TimePoint aNow);
+  Duration WaitForSlot(const TrackedUpstream& aUpstream,
+                       double aFullness) const;
+  PrefillRate RateOf(const ServiceName& aService) const;
+  Duration PrefillTime(const ServiceName& aService,
+                       std::uint64_t aTokens) const;
+  std::uint64_t TokensToPrefill(const TrackedUpstream& aUpstream,
+                                const SelectionQuery& aQuery,
+                                std::size_t aRank,
+                                TimePoint aNow) const;
+  Load LoadOf(const TrackedUpstream& aUpstream,
+              const Load& aFallback,
+              const SelectionQuery& aQuery,
+              TimePoint aNow) const;
+  Load MeanKnownLoad(const std::vector<const TrackedUpstream*>& aCandidates,
+                     const SelectionQuery& aQuery,
+                     TimePoint aNow) const;
+  std::size_t PickSoonest(
+    const std::vector<const TrackedUpstream*>& aCandidates,
+    const SelectionQuery& aQuery,
+    TimePoint aNow) const;
+  std::size_t PickLeastFull(
+    const std::vector<const TrackedUpstream*>& aCandidates,
+    const SelectionQuery& aQuery,
+    TimePoint aNow) const;
+
+  UpstreamSelectorOptions mOptions;
+  std::unordered_map<UpstreamName, TrackedUpstream> mTrackedUpstreams;
+  std::unordered_map<ServiceName, PrefillRate> mRates;
+  /** Mean time that a request occupies a slot in the batch of an upstream. */
+  std::unordered_map<ServiceName, Duration> mMeanBatchTimes;
+};
+
+} // namespace peridotspool::gateway
--- a/include/peridotspool/membership/RegistryMessage.h
+++ b/include/peridotspool/membership/RegistryMessage.h
@@ -14,50 +14,65 @@
 
 namespace peridotspool::membership {
 
-/** Names one life of a registry; its versions mean nothing in another one. */
-using RegistryLife = NumberId<struct RegistryLifeTag>;
+/**
+ * Identifies one incarnation of a registry process. Versions of different
+ * incarnations can't be compared.
+ */
+using RegistryIncarnation = NumberId<struct RegistryIncarnationTag>;
 
-/** How late a heartbeat may come after the goodbye that it was sent before. */
-constexpr Duration kLateReportFor = std::chrono::seconds(1);
+/**
+ * A heartbeat that was sent before a deregistration arrives at most this long
+ * after it.
+ */
+constexpr Duration kLateHeartbeatWindow = std::chrono::seconds(1);
 
-/** One upstream in a registry. */
+/** The state of one upstream in a registry. */
 struct RegistryRow
 {
   UpstreamReport mReport;
-  /** The registry has not heard from it lately; it may speak to another. */
+  /**
+   * The registry has not received a recent heartbeat. The upstream may be
+   * sending heartbeats to another registry.
+   */
   bool mSilent = false;
-  /** How long the registry had known the incarnation when it sent this. */
-  std::uint64_t mKnownForMs = 0;
-  /** Age of the last goodbye that named no incarnation. */
-  std::optional<std::uint64_t> mGoodbyeAgeMs;
+  /** Time since the registry received the first report of the incarnation. */
+  std::uint64_t mIncarnationAgeMs = 0;
+  /** Age of the last deregistration that specified no incarnation. */
+  std::optional<std::uint64_t> mDeregistrationAgeMs;
 
   auto operator<=>(const RegistryRow&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(RegistryRow,
-                      (),
-                      (mReport, mSilent, mKnownForMs, mGoodbyeAgeMs))
+BOOST_DESCRIBE_STRUCT(
+  RegistryRow,
+  (),
+  (mReport, mSilent, mIncarnationAgeMs, mDeregistrationAgeMs))
 
-/** Says what a subscriber has of a registry, and keeps its subscription. */
+/** Reports a subscriber's version of a registry and renews its subscription. */
 struct RegistryPull
 {
-  RegistryLife mLife;
+  RegistryIncarnation mRegistryIncarnation;
   std::uint64_t mVersion = 0;
 
   auto operator<=>(const RegistryPull&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(RegistryPull, (), (mLife, mVersion))
+BOOST_DESCRIBE_STRUCT(RegistryPull, (), (mRegistryIncarnation, mVersion))
 
-/** The rows that changed after mFrom up to mTo; from 0 it is all of them. */
+/**
+ * The rows that changed after version mFrom, up to version mTo. If mFrom is 0,
+ * these are all rows.
+ */
 struct RegistryPush
 {
-  RegistryLife mLife;
+  RegistryIncarnation mRegistryIncarnation;
   std::uint64_t mFrom = 0;
   std::uint64_t mTo = 0;
   std::vector<RegistryRow> mRows;
 
   auto operator<=>(const RegistryPush&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(RegistryPush, (), (mLife, mFrom, mTo, mRows))
+BOOST_DESCRIBE_STRUCT(RegistryPush,
+                      (),
+                      (mRegistryIncarnation, mFrom, mTo, mRows))
 
 using RegistryMessage = std::variant<RegistryPull, RegistryPush>;
 
--- /dev/null
+++ b/include/peridotspool/routing/CrashDetector.h
@@ -0,0 +1,114 @@
+#pragma once
+
+#include "peridotspool/base/Address.h"
+#include "peridotspool/base/ContentId.h"
+#include "peridotspool/base/Ids.h"
+#include "peridotspool/base/Time.h"
+
+#include <compare>
+#include <map>
+#include <optional>
+#include <vector>
+
+namespace peridotspool::routing {
+
+/** One incarnation of an upstream's process. */
+struct UpstreamIncarnation
+{
+  UpstreamName mName;
+  Incarnation mIncarnation;
+
+  auto operator<=>(const UpstreamIncarnation&) const = default;
+};
+
+/** A request that was running when the connection for its response was lost. */
+struct LostResponse
+{
+  ContentId mContent;
+  TimePoint mSentAt;
+  TimePoint mLostAt;
+  /** The run held the permit of a content that runs one at a time. */
+  bool mHadPermit = false;
+
+  auto operator<=>(const LostResponse&) const = default;
+};
+
+enum class CrashEvidence
+{
+  /** A connection to its address was refused. */
+  kConnectionRefused,
+  /** Another incarnation has announced itself at its address. */
+  kNewIncarnation,
+};
+
+/**
+ * An incarnation that crashed, without deregistering first, while it ran
+ * requests of this entry.
+ */
+struct UpstreamCrash
+{
+  UpstreamIncarnation mUpstream;
+  CrashEvidence mCrashEvidence = CrashEvidence::kConnectionRefused;
+  std::vector<LostResponse> mLost;
+
+  auto operator<=>(const UpstreamCrash&) const = default;
+};
+
+/**
+ * Distinguishes the crash of an upstream from the loss of a connection to it. A
+ * lost response alone shows neither: a live upstream may have reset the
+ * connection, or the network between may have cut it.
+ *
+ * Only incarnations that had not announced that they leave are to be reported
+ * here. Does no I/O and reads no clock. Not thread-safe.
+ */
+class CrashDetector
+{
+public:
+  /**
+   * Called when a response was lost. Returns the crash if the incarnation is
+   * known to have crashed; otherwise ShouldProbe tells whether to probe its
+   * address.
+   */
+  std::optional<UpstreamCrash> Lost(const UpstreamIncarnation& aIncarnation,
+                                    const Address& aAddress,
+                                    const LostResponse& aLost);
+  /**
+   * Returns true iff a connection is to be tried; once for each pending
+   * incarnation.
+   */
+  bool ShouldProbe(const UpstreamIncarnation& aIncarnation);
+
+  /** Called when a connection to the incarnation's address was refused. */
+  std::optional<UpstreamCrash> Refused(const UpstreamIncarnation& aIncarnation,
+                                       TimePoint aNow);
+  /** Called when the probe connected: the incarnation is still alive. */
+  void Accepted(const UpstreamIncarnation& aIncarnation);
+  /**
+   * Called when an incarnation announces itself. Returns the crashes of others
+   * that had the same address.
+   */
+  std::vector<UpstreamCrash> Announced(const UpstreamIncarnation& aIncarnation,
+                                       const Address& aAddress,
+                                       TimePoint aNow);
+  /** Drops expired state. */
+  void Forget(TimePoint aNow);
+
+private:
+  struct PendingProbe
+  {
+    Address mAddress;
+    std::vector<LostResponse> mLost;
+    bool mProbed = false;
+  };
+
+  std::optional<UpstreamCrash> RecordCrash(
+    const UpstreamIncarnation& aIncarnation,
+    CrashEvidence aCrashEvidence,
+    TimePoint aNow);
+
+  std::map<UpstreamIncarnation, PendingProbe> mPending;
+  std::map<UpstreamIncarnation, TimePoint> mCrashed;
+};
+
+} // namespace peridotspool::routing
--- a/include/peridotspool/routing/CrashReport.h
+++ b/include/peridotspool/routing/CrashReport.h
@@ -10,80 +10,80 @@
 
 namespace peridotspool::routing {
 
-/** A content that a life of an upstream was running when it ended. */
-struct CrashLine
+/** A content that an upstream incarnation was running when it crashed. */
+struct ReportedCrash
 {
   ContentId mContent;
   UpstreamName mUpstream;
   Incarnation mIncarnation;
-  /** Before the report was sent, in milliseconds. */
-  std::uint32_t mSentAgoMs = 0;
-  std::uint32_t mLostAgoMs = 0;
-  /** It had the turn of a content that runs once at a time. */
-  bool mHadTurn = false;
+  /** Age when the report was sent, in milliseconds. */
+  std::uint32_t mSentAgeMs = 0;
+  std::uint32_t mLostAgeMs = 0;
+  /** The run held the permit of a content that runs one at a time. */
+  bool mHadPermit = false;
 
-  auto operator<=>(const CrashLine&) const = default;
+  auto operator<=>(const ReportedCrash&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(
-  CrashLine,
+  ReportedCrash,
   (),
-  (mContent, mUpstream, mIncarnation, mSentAgoMs, mLostAgoMs, mHadTurn))
+  (mContent, mUpstream, mIncarnation, mSentAgeMs, mLostAgeMs, mHadPermit))
 
-/** From an entry to the control leader, until that has it. */
+/** Sent by an entry to the control leader until acknowledged. */
 struct CrashReport
 {
-  /** Names the report among those of the entry's process. */
+  /** Identifies the report among those of the entry's process. */
   std::uint64_t mNumber = 0;
-  std::vector<CrashLine> mLines;
+  std::vector<ReportedCrash> mLines;
 
   auto operator<=>(const CrashReport&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(CrashReport, (), (mNumber, mLines))
 
-/** From the leader: it has the report. */
-struct CrashTaken
+/** Sent by the leader to acknowledge a report. */
+struct CrashReportAck
 {
   std::uint64_t mNumber = 0;
 
-  auto operator<=>(const CrashTaken&) const = default;
+  auto operator<=>(const CrashReportAck&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(CrashTaken, (), (mNumber))
+BOOST_DESCRIBE_STRUCT(CrashReportAck, (), (mNumber))
 
-/** To the leader: may a request of this content be run now? */
-struct TurnAsk
+/** Asks the leader for permission to run a request of this content now. */
+struct PermitRequest
 {
   ContentId mContent;
-  /** The entry's number of the request. */
+  /** Identifies the request at the entry. */
   std::uint64_t mTag = 0;
-  /** The request is over by then, in milliseconds. */
+  /** Maximum time that the permit is needed for, in milliseconds. */
   std::uint32_t mForMs = 0;
 
-  auto operator<=>(const TurnAsk&) const = default;
+  auto operator<=>(const PermitRequest&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TurnAsk, (), (mContent, mTag, mForMs))
+BOOST_DESCRIBE_STRUCT(PermitRequest, (), (mContent, mTag, mForMs))
 
-struct TurnAnswer
+struct PermitResponse
 {
   std::uint64_t mTag = 0;
   bool mGranted = false;
 
-  auto operator<=>(const TurnAnswer&) const = default;
+  auto operator<=>(const PermitResponse&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TurnAnswer, (), (mTag, mGranted))
+BOOST_DESCRIBE_STRUCT(PermitResponse, (), (mTag, mGranted))
 
-/** To the leader: a request of a listed content is over. */
-struct TurnEnded
+/** Notifies the leader that a request of a listed content is over. */
+struct RunEnded
 {
   ContentId mContent;
-  /** 0 where it had no turn: it was sent before the content was listed. */
+  /** The permit, or 0 if the request was sent before the content was listed. */
   std::uint64_t mTag = 0;
-  /** An upstream has answered it completely. */
+  /** An upstream has answered the request completely. */
   bool mAnswered = false;
-  /** So long before this was sent, in milliseconds. */
-  std::uint32_t mAgoMs = 0;
+  /** Age of the answer when this was sent, in milliseconds. */
+  std::uint32_t mAgeMs = 0;
 
-  auto operator<=>(const TurnEnded&) const = default;
+  auto operator<=>(const RunEnded&) const = default;
 };
-BOOST_DESCRIBE_STRUCT(TurnEnded, (), (mContent, mTag, mAnswered, mAgoMs))
+BOOST_DESCRIBE_STRUCT(RunEnded, (), (mContent, mTag, mAnswered, mAgeMs))
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/CrashReporter.h
+++ b/include/peridotspool/routing/CrashReporter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
+#include "peridotspool/routing/CrashDetector.h"
 #include "peridotspool/routing/CrashReport.h"
-#include "peridotspool/routing/CrashWitness.h"
 
 #include <cstdint>
 #include <deque>
@@ -11,36 +11,39 @@
 namespace peridotspool::routing {
 
 /**
- * Keeps what this entry saw of ended lives, and tells each control leader of it
- * until that has it: a message may be lost, and a new leader knows nothing of
- * what the one before had only heard.
+ * Buffers the crashes that this entry detected and reports them to each control
+ * leader until it acknowledges them. A message may be lost, and a new leader
+ * has no crashes that its predecessor received but did not commit.
  *
- * A pure step; not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class CrashReporter
 {
 public:
-  void Add(const EndedLife& aEnded);
-  /** A leader that has heard nothing from here yet. */
-  void MeetLeader();
-  /** What is to be sent to the leader now; empty for nothing. */
+  void Add(const UpstreamCrash& aCrash);
+  /**
+   * Called when a leader that has received no reports from this entry takes
+   * over.
+   */
+  void OnNewLeader();
+  /** Returns the report to send to the leader now, if any. */
   std::optional<CrashReport> Report(TimePoint aNow);
-  void Take(const CrashTaken& aTaken);
-  /** Forgets what is too old to count. */
+  void OnAck(const CrashReportAck& aAck);
+  /** Drops crashes that are too old to count as evidence. */
   void Forget(TimePoint aNow);
 
 private:
-  struct Kept
+  struct BufferedCrash
   {
-    UpstreamLife mLife;
-    LostAnswer mLost;
-    bool mTaken = false;
-    /** The last report that had it. */
-    std::uint64_t mReport = 0;
-    std::optional<TimePoint> mToldAt;
+    UpstreamIncarnation mUpstream;
+    LostResponse mLost;
+    bool mAcknowledged = false;
+    /** Number of the last report that contained the crash. */
+    std::uint64_t mReportNumber = 0;
+    std::optional<TimePoint> mReportedAt;
   };
 
-  std::deque<Kept> mKept;
+  std::deque<BufferedCrash> mBuffered;
   std::uint64_t mLastReport = 0;
 };
 
--- a/include/peridotspool/routing/QuarantineGate.h
+++ b/include/peridotspool/routing/QuarantineGate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peridotspool/base/Time.h"
-#include "peridotspool/routing/AnswerMemory.h"
+#include "peridotspool/routing/CompletionCache.h"
 #include "peridotspool/routing/CrashReport.h"
 #include "peridotspool/routing/Quarantine.h"
 
@@ -14,80 +14,92 @@
 
 namespace peridotspool::routing {
 
-/** What the gate says of one request. */
+/** The outcome of the quarantine check of one request. */
 enum class GateOutcome
 {
-  /** Like any other. */
-  kGoes,
-  /** It has the turn of its content; Ended is to be called. */
-  kHasTurn,
-  /** The leader is asked for its turn; a GateDecided follows. */
-  kWaits,
-  /** It ended three upstreams in a row. */
+  /** The request runs without a permit. */
+  kAllowed,
+  /**
+   * The request holds the permit of its content. Call Ended, Answered or Lost
+   * when it is over.
+   */
+  kHasPermit,
+  /** A permit was requested from the leader; a GateDecision follows. */
+  kWaitsForPermit,
+  /** The content is refused: it was running in three consecutive crashes. */
   kRefused,
-  /** Its turn has not come in time. */
-  kTooLate,
+  /** The permit was not granted in time. */
+  kPermitTimeout,
 };
 
-struct GateAnswer
+struct GateResult
 {
-  GateOutcome mOutcome = GateOutcome::kGoes;
-  /** Names the request in later calls; set with kWaits. */
+  GateOutcome mOutcome = GateOutcome::kAllowed;
+  /** Identifies the request in later calls; set with kWaitsForPermit. */
   std::uint64_t mTag = 0;
-  /** With kWaits: what to send to the leader. */
-  TurnAsk mAsk;
+  /** The request to send to the leader; set with kWaitsForPermit. */
+  PermitRequest mPermitRequest;
 };
 
-/** The late outcome of a request that waited. */
-struct GateDecided
+/** The outcome for a request that waited for a permit. */
+struct GateDecision
 {
   std::uint64_t mTag = 0;
-  GateOutcome mOutcome = GateOutcome::kGoes;
+  GateOutcome mOutcome = GateOutcome::kAllowed;
 
-  auto operator<=>(const GateDecided&) const = default;
+  auto operator<=>(const GateDecision&) const = default;
 };
 
-/** What is to be done for the gate. */
-struct GateTick
+/** What the caller of the gate has to carry out. */
+struct GateActions
 {
-  std::vector<GateDecided> mDecided;
-  std::vector<TurnAsk> mAsks;
-  std::vector<TurnEnded> mEnded;
+  std::vector<GateDecision> mDecisions;
+  std::vector<PermitRequest> mPermitRequests;
+  std::vector<RunEnded> mEnded;
 };
 
 /**
- * An entry's side of the quarantine: holds each request against the table that
- * the control group has committed, as far as it is known here. Contents that
- * aren't listed, which is nearly all, cost one look.
+ * Applies the quarantine at one entry: checks each request against the
+ * committed table as far as it is known here. A content that isn't listed, as
+ * nearly all are, costs a single lookup.
  *
- * A pure step; not thread-safe.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 class QuarantineGate
 {
 public:
-  /** The last change known here; 0 for none. */
-  std::uint64_t Known() const { return mKnown; }
-  bool Knows() const { return mKnown != 0; }
+  /** Number of the last change known here; 0 if there is none. */
+  std::uint64_t KnownNumber() const { return mKnownNumber; }
+  bool HasTable() const { return mKnownNumber != 0; }
   QuarantineStage StageOf(const ContentId& aContent) const;
-  std::size_t Listed() const { return mListed.size(); }
+  std::size_t ListedCount() const { return mListed.size(); }
 
-  /** Gives the requests that need not wait any more, and answers to contents
-   * that are listed from now on. */
-  GateTick Take(const QuarantineTold& aTold, TimePoint aNow);
-  GateAnswer Ask(const ContentId& aContent, Duration aTimeLeft, TimePoint aNow);
-  std::optional<GateDecided> Take(const TurnAnswer& aAnswer);
-  /** About every 50 ms. */
-  GateTick Tick(TimePoint aNow);
-  /** The caller of a request that waits has gone. */
-  void Forget(std::uint64_t aTag);
-  /** The request that has this turn was not run after all. */
-  TurnEnded Ended(std::uint64_t aTag);
-  /** An upstream has answered a request completely; aTag is its turn, or 0.
-   * Returns what the leader is to be told, if anything. */
-  std::optional<TurnEnded> Answered(std::uint64_t aTag,
-                                    const ContentId& aContent,
-                                    TimePoint aNow);
-  /** Its answer was lost; what ended is not known yet. */
+  /**
+   * Returns the decisions for requests that no longer need to wait, and reports
+   * of recent complete answers to contents that are listed from now on.
+   */
+  GateActions ApplyUpdate(const QuarantineUpdate& aUpdate, TimePoint aNow);
+  GateResult Check(const ContentId& aContent,
+                   Duration aTimeLeft,
+                   TimePoint aNow);
+  std::optional<GateDecision> OnPermitResponse(const PermitResponse& aResponse);
+  /** Called about every 50 ms. */
+  GateActions Tick(TimePoint aNow);
+  /** Called when the caller of a waiting request has disconnected. */
+  void Cancel(std::uint64_t aTag);
+  /** Called when the request that holds this permit was not run. */
+  RunEnded Ended(std::uint64_t aTag);
+  /**
+   * Called when an upstream has answered a request completely. aTag is its
+   * permit, or 0 for none. Returns the report for the leader, if one is needed.
+   */
+  std::optional<RunEnded> Answered(std::uint64_t aTag,
+                                   const ContentId& aContent,
+                                   TimePoint aNow);
+  /**
+   * Called when the response was lost and it is not known yet whether the
+   * upstream crashed.
+   */
   void Lost(std::uint64_t aTag, TimePoint aNow);
 
 private:
@@ -96,21 +108,21 @@
     ContentId mContent;
     TimePoint mSince;
     TimePoint mUntil;
-    TimePoint mAskedAt;
+    TimePoint mRequestedAt;
   };
-  struct Turn
+  struct Permit
   {
     ContentId mContent;
-    /** When it is given back; unset while its request is being run. */
-    std::optional<TimePoint> mBackAt;
+    /** When the permit is released; unset while its request runs. */
+    std::optional<TimePoint> mReleaseAt;
   };
 
-  std::uint64_t mKnown = 0;
+  std::uint64_t mKnownNumber = 0;
   std::unordered_map<ContentId, QuarantineStage> mListed;
   std::uint64_t mLastTag = 0;
   std::map<std::uint64_t, Waiting> mWaiting;
-  std::map<std::uint64_t, Turn> mTurns;
-  AnswerMemory mAnswers;
+  std::map<std::uint64_t, Permit> mPermits;
+  CompletionCache mCompletions;
 };
 
 } // namespace peridotspool::routing
--- a/include/peridotspool/routing/SharedLimit.h
+++ b/include/peridotspool/routing/SharedLimit.h
@@ -11,7 +11,7 @@
 
 namespace peridotspool::routing {
 
-/** Which limit a request would exceed. */
+/** The limit that a request would exceed. */
 enum class LimitReached
 {
   kRate,
@@ -19,13 +19,14 @@
 };
 BOOST_DESCRIBE_ENUM(LimitReached, kRate, kConcurrency)
 
-/** How long a share has to hold before a larger one is used. */
-inline constexpr Duration kShareSettles = std::chrono::seconds(3);
+/** Time after which a larger share takes effect. */
+inline constexpr Duration kShareSettleTime = std::chrono::seconds(3);
 
 /**
- * One entry's part of a customer's limits: the least of the parts of the last
- * kShareSettles. A smaller part counts at once, a larger one only when the
- * others have had the time to hear of what shrank theirs.
+ * One entry's share of a customer's limits. The lowest share within the last
+ * kShareSettleTime is in force: a smaller share takes effect at once, a larger
+ * one only after the other entries have had the time to receive what reduced
+ * theirs.
  */
 class SharedLimit
 {
@@ -34,33 +35,36 @@
 
   void SetShare(const settings::Limits& aShare, TimePoint aNow);
 
-  /** Counts a request in, or says which limit it would exceed. */
-  std::optional<LimitReached> Take(TimePoint aNow);
-  /** A request that was counted in has ended. */
+  /** Counts the request, or returns the limit that it would exceed. */
+  std::optional<LimitReached> TryAcquire(TimePoint aNow);
+  /** Called when a counted request has ended. */
   void Release();
 
-  /** When to come back after the rate was reached. */
+  /** Returns the time until the rate permits the next request. */
   Duration UntilNext(TimePoint aNow);
-  /** Requests a second that were asked for lately, refused ones included. */
+  /**
+   * Returns the recent demand in requests per second, refused requests
+   * included.
+   */
   double Demand(TimePoint aNow);
-  /** The part that counts now. */
+  /** Returns the share that is in force. */
   const settings::Limits& InForce(TimePoint aNow);
   std::uint64_t InUse() const { return mInUse; }
 
 private:
-  /** A part, and since when it is the newest. */
-  struct Part
+  /** A share, and the time when it was set. */
+  struct Share
   {
     TimePoint mSince;
     settings::Limits mLimits;
   };
 
-  void Settle(TimePoint aNow);
-  void CountDemand(TimePoint aNow, double aAsked);
+  void UpdateInForce(TimePoint aNow);
+  void CountDemand(TimePoint aNow, double aRequests);
 
   settings::Limits mInForce;
-  /** Those that were the newest within the last kShareSettles. */
-  std::deque<Part> mParts;
+  /** The shares that were the newest within the last kShareSettleTime. */
+  std::deque<Share> mShares;
   TokenBucket mBucket;
   std::uint64_t mInUse = 0;
   double mDemand = 0;
--- a/include/peridotspool/runtime/ControlDialect.h
+++ b/include/peridotspool/runtime/ControlDialect.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "peridotspool/control/ControlOptions.h"
-#include "peridotspool/control/OperatorAnswer.h"
 #include "peridotspool/control/OperatorRequest.h"
-#include "peridotspool/fleet/DutyCall.h"
+#include "peridotspool/control/OperatorResponse.h"
+#include "peridotspool/fleet/CloudCall.h"
 #include "peridotspool/gateway/RouteTable.h"
 #include "peridotspool/http/HttpMessage.h"
 #include "peridotspool/membership/EntryProfile.h"
@@ -23,8 +23,8 @@
   membership::UpstreamReport mReport;
 };
 
-/** An upstream's goodbye. */
-struct GoodbyeCall
+/** An upstream's deregistration. */
+struct DeregisterCall
 {
   UpstreamName mName;
   /** Unset where it does not say. */
@@ -46,7 +46,7 @@
 
 using ControlCall = std::variant<control::OperatorRequest,
                                  AnnounceCall,
-                                 GoodbyeCall,
+                                 DeregisterCall,
                                  DirectoryCall,
                                  AnsweredCall>;
 
@@ -61,7 +61,7 @@
    * Writes an operator's answer. The target (path and query) and the leader's
    * peer address are there for a redirection.
    */
-  std::function<http::HttpResponse(const control::OperatorAnswer&,
+  std::function<http::HttpResponse(const control::OperatorResponse&,
                                    const std::string& aTarget)>
     mWriteAnswer;
   std::function<http::HttpResponse()> mWriteAnnounced;
@@ -76,8 +76,8 @@
                                                    LastReason&)>
     mReadDocument;
   /** Writes what the holder of the duties tells the cloud. */
-  std::function<http::HttpRequest(const fleet::DutyCall&,
-                                  const fleet::DutyStamp&)>
+  std::function<http::HttpRequest(const fleet::CloudCall&,
+                                  const fleet::FencingStamp&)>
     mWriteDuty;
   /** Checks settings that an operator sends. */
   control::SettingsChecker mChecker;
--- a/src/control/Consensus.cpp
+++ b/src/control/Consensus.cpp
@@ -34,33 +34,35 @@
     mLog.Append(std::move(entry));
   }
   mDurable = mLog.LastIndex();
-  // A restarted replica forgot when it last heard a leader, who may still
-  // count on its silence. Voting at once would elect a second leader within
-  // the first one's lease; so it starts as if it had heard one just now.
+  // A restarted replica no longer knows when it last heard from a leader, whose
+  // lease may still rely on this replica not voting. Voting at once could elect
+  // a second leader within the first one's lease, so the replica starts as if
+  // it had just received a heartbeat.
   mHeardLeaderAt = aNow;
   mStartedAt = aNow;
-  SetEagerTimer(1);
+  SetStartupElectionTimer(1);
 }
 
 ConsensusEffects
 Consensus::Step(const ConsensusEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   FlushWrites();
   ReleaseHeld();
   return std::exchange(mEffects, {});
 }
 
 void
-Consensus::Take(const ReplicaMessageEvent& aEvent)
+Consensus::Handle(const ReplicaMessageEvent& aEvent)
 {
-  std::visit([&](const auto& aMessage) { TakeMessage(aEvent.mFrom, aMessage); },
-             aEvent.mMessage);
+  std::visit(
+    [&](const auto& aMessage) { HandleMessage(aEvent.mFrom, aMessage); },
+    aEvent.mMessage);
 }
 
 void
-Consensus::Take(const SyncedEvent& aEvent)
+Consensus::Handle(const SyncedEvent& aEvent)
 {
   mSyncedToken = std::max(mSyncedToken, aEvent.mToken);
   bool ownVote = false;
@@ -80,13 +82,13 @@
 }
 
 void
-Consensus::Take(const ProposeEvent& aEvent)
+Consensus::Handle(const ProposeEvent& aEvent)
 {
   if (mRole != Role::kLeader) {
     return;
   }
-  // Two changes of the replica set under way at once could leave two
-  // majorities without a common replica, and so two leaders.
+  // Two concurrent changes of the replica set could produce two majorities
+  // without a common replica, and so two leaders.
   const bool changesSet =
     std::holds_alternative<ReplicaSetCommand>(aEvent.mCommand);
   if (changesSet && (!ReplicaSetSettled() || mCommit < mFirstOwnIndex)) {
@@ -103,7 +105,7 @@
 }
 
 void
-Consensus::Take(const CompactEvent& aEvent)
+Consensus::Handle(const CompactEvent& aEvent)
 {
   PERIDOTSPOOL_INVARIANT(aEvent.mIndex <= mCommit);
   const std::optional<Term> term = mLog.TermAt(aEvent.mIndex);
@@ -115,7 +117,7 @@
                         .mReplicas = SetAt(aEvent.mIndex),
                         .mState = aEvent.mState };
   Write().mSnapshot = mSnapshot;
-  const std::uint64_t keep = mOptions.mKeepBehindSnapshot;
+  const std::uint64_t keep = mOptions.mEntriesRetainedBehindSnapshot;
   if (aEvent.mIndex.Value() > mLog.BaseIndex().Value() + keep) {
     mLog.DropThrough(LogIndex(aEvent.mIndex.Value() - keep));
   }
@@ -125,7 +127,7 @@
 }
 
 void
-Consensus::Take(const TickEvent&)
+Consensus::Handle(const TickEvent&)
 {
   if (mRole == Role::kLeader) {
     CheckQuorum();
--- a/src/control/ConsensusElection.cpp
+++ b/src/control/ConsensusElection.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** An election that was split is given up after two to four of them. */
+/**
+ * A split election at startup is abandoned after two to four startup election
+ * periods.
+ */
 constexpr int kElectionPeriods = 4;
 
 } // namespace
@@ -16,7 +19,8 @@
 void
 Consensus::ResetElectionTimer()
 {
-  // Not std::uniform_int_distribution: its numbers differ between libraries.
+  // std::uniform_int_distribution isn't used because its results differ between
+  // standard libraries.
   const auto range =
     static_cast<std::uint64_t>(mOptions.mElectionTimeout.count());
   const auto extra = static_cast<Duration::rep>(mRandom() % range);
@@ -24,23 +28,24 @@
 }
 
 void
-Consensus::SetEagerTimer(int aPeriods)
+Consensus::SetStartupElectionTimer(int aPeriods)
 {
-  if (!KnowsNoLeader() || mNow - mStartedAt >= mOptions.mEagerFor) {
+  if (!HasSeenNoLeader() ||
+      mNow - mStartedAt >= mOptions.mStartupElectionWindow) {
     ResetElectionTimer();
     return;
   }
-  const auto half = aPeriods * mOptions.mEagerPeriod / 2;
+  const auto half = aPeriods * mOptions.mStartupElectionPeriod / 2;
   const auto extra = static_cast<Duration::rep>(
     mRandom() % static_cast<std::uint64_t>(half.count()));
   mElectionAt = mNow + half + Duration(extra);
 }
 
 bool
-Consensus::HearsLeader() const
+Consensus::HasHeardLeaderRecently() const
 {
   if (mRole == Role::kLeader) {
-    const std::optional<TimePoint> answered = QuorumAnsweredAt(mNow);
+    const std::optional<TimePoint> answered = QuorumAcknowledgedAt(mNow);
     return answered && mNow - *answered < mOptions.mElectionTimeout;
   }
   return mNow - mHeardLeaderAt < mOptions.mElectionTimeout;
@@ -62,12 +67,12 @@
   return aRequest.mLastIndex >= mLog.LastIndex();
 }
 
-// Without the pre-vote, a replica that was cut off raises its term over and
-// over, and pushes a healthy leader out when it comes back.
+// Without the pre-vote, a partitioned replica would raise its term repeatedly
+// and depose a healthy leader when it reconnects.
 void
 Consensus::StartPreVote()
 {
-  SetEagerTimer(1);
+  SetStartupElectionTimer(1);
   if (!Replicas().IsVoter(mSelf)) {
     return;
   }
@@ -75,9 +80,9 @@
   mLeader = ReplicaId();
   mVotes.clear();
   mRestarted.clear();
-  AskForVotes(true);
+  RequestVotes(true);
   CountVote(mSelf);
-  if (KnowsNoLeader() && mRole == Role::kPreCandidate) {
+  if (HasSeenNoLeader() && mRole == Role::kPreCandidate) {
     CountRestarted(mSelf);
   }
 }
@@ -88,18 +93,18 @@
   mRole = Role::kCandidate;
   mLeader = ReplicaId();
   mVotes.clear();
-  if (KnowsNoLeader()) {
-    SetEagerTimer(kElectionPeriods);
+  if (HasSeenNoLeader()) {
+    SetStartupElectionTimer(kElectionPeriods);
   } else {
     ResetElectionTimer();
   }
-  // The own vote counts once it has synced; see Take(SyncedEvent).
+  // The replica's own vote counts once it has synced; see Handle(SyncedEvent).
   SaveVote(mVote.mTerm.Next(), mSelf);
-  AskForVotes(false);
+  RequestVotes(false);
 }
 
 void
-Consensus::AskForVotes(bool aPreVote)
+Consensus::RequestVotes(bool aPreVote)
 {
   const VoteRequest request{
     .mTerm = aPreVote ? mVote.mTerm.Next() : mVote.mTerm,
@@ -131,8 +136,9 @@
     return;
   }
   if (mRole == Role::kPreCandidate) {
-    // Its own vote would be one too: it has to keep its own silence as well.
-    if (!HearsLeader()) {
+    // Standing for election includes a vote for itself, which a recent message
+    // from a leader forbids as well.
+    if (!HasHeardLeaderRecently()) {
       StartElection();
     }
   } else if (mRole == Role::kCandidate) {
@@ -148,22 +154,24 @@
                      [&](const ReplicaInfo& aReplica) {
                        return !aReplica.mVoter ||
                               mRestarted.contains(aReplica.mId) ||
-                              mEnded.contains(aReplica.mId);
+                              mEndedReplicas.contains(aReplica.mId);
                      });
 }
 
-// After all replicas were killed at once, every one of them would keep its
-// silence for a leader that is dead too, and nobody would be served meanwhile.
-// A lease is held by a voter's process that has led; where each voter says that
-// it has neither led nor heard a leader since it started, no lease is left.
+// After all replicas are killed at once, each would withhold its vote for the
+// lease of a leader that is gone too, and no request would be served meanwhile.
+// A lease is held only by a voter's process that has led; when every voter
+// reports that it has neither led nor heard from a leader since it started, no
+// lease is left.
 //
-// All of them have to be in the asker's term. Otherwise one that answers, leads
-// by an older term, and is given a lease by a voter that then restarts, could
-// still hold it when that voter helps the asker. In the same term it could lead
-// by a later term only, which the one that gave it the lease would know of.
+// All voters must be in the candidate's term. Otherwise a voter could reply,
+// then lead in an older term and obtain a lease through a voter that restarts
+// afterwards, and still hold the lease when that restarted voter votes for the
+// candidate. In the same term it could lead only in a later term, which the
+// voter that granted the lease would know.
 //
-// A voter that came back with an empty disk can't say it, and needs not: it has
-// ended, so it holds no lease, and it gives none.
+// A voter that restarted with an empty disk can't report this and needn't: its
+// identity has ended, so it holds no lease and grants none.
 void
 Consensus::CountRestarted(ReplicaId aFrom)
 {
@@ -171,26 +179,26 @@
     return;
   }
   mRestarted.insert(aFrom);
-  if (AllRestarted() && KnowsNoLeader() && mNow >= mYieldsUntil) {
+  if (AllRestarted() && HasSeenNoLeader() && mNow >= mDefersElectionUntil) {
     StartElection();
   }
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const VoteRequest& aRequest)
+Consensus::HandleMessage(ReplicaId aFrom, const VoteRequest& aRequest)
 {
-  // While a leader may count on this replica, no other is helped: the leader's
-  // lease is worth something only because of this.
+  // No vote is granted while a leader's lease may rely on this replica; the
+  // lease is valid only because of this rule.
   const bool hears =
-    HearsLeader() && !(aRequest.mAllRestarted && KnowsNoLeader());
+    HasHeardLeaderRecently() && !(aRequest.mAllRestarted && HasSeenNoLeader());
   if (aRequest.mPreVote) {
     const bool granted =
       aRequest.mTerm > mVote.mTerm && !hears && IsUpToDate(aRequest);
     const bool restarted = aRequest.mTerm == mVote.mTerm.Next() &&
-                           KnowsNoLeader() && IsUpToDate(aRequest);
+                           HasSeenNoLeader() && IsUpToDate(aRequest);
     if (restarted && aFrom < mSelf) {
-      // With one voter lost, two that both stand have one vote each.
-      mYieldsUntil = mNow + mOptions.mEagerPeriod;
+      // With one of three voters lost, two candidates would get one vote each.
+      mDefersElectionUntil = mNow + mOptions.mStartupElectionPeriod;
     }
     Send(
       aFrom,
@@ -220,7 +228,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const VoteReply& aReply)
+Consensus::HandleMessage(ReplicaId aFrom, const VoteReply& aReply)
 {
   const bool forPreVote =
     aReply.mPreVote && (aReply.mGranted || aReply.mRestarted);
@@ -265,7 +273,8 @@
   mVotes.clear();
   mProgress.clear();
   RefreshProgress();
-  // Entries of older terms are committed only together with one of this term.
+  // Entries of older terms are committed only together with an entry of this
+  // term.
   mFirstOwnIndex = mLog.LastIndex().Next();
   AppendEntry({ .mIndex = mFirstOwnIndex,
                 .mTerm = mVote.mTerm,
--- a/src/control/ConsensusFollower.cpp
+++ b/src/control/ConsensusFollower.cpp
@@ -23,16 +23,18 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const AppendRequest& aRequest)
+Consensus::HandleMessage(ReplicaId aFrom, const AppendRequest& aRequest)
 {
   if (!AcceptLeader(aFrom, aRequest.mTerm)) {
     ReplyAppend(aFrom, aRequest.mRound, false, LogIndex());
     return;
   }
   const LogIndex previous = aRequest.mPreviousIndex;
-  // Up to the commit index all logs are alike, so only later places can differ.
+  // Up to the commit index all logs are identical, so only later entries can
+  // differ.
   if (previous > mCommit && mLog.TermAt(previous) != aRequest.mPreviousTerm) {
-    ReplyAppend(aFrom, aRequest.mRound, false, FirstDoubtful(previous));
+    ReplyAppend(
+      aFrom, aRequest.mRound, false, FirstPossiblyDivergent(previous));
     return;
   }
   MergeEntries(aRequest.mEntries);
@@ -45,7 +47,7 @@
 }
 
 LogIndex
-Consensus::FirstDoubtful(LogIndex aPrevious) const
+Consensus::FirstPossiblyDivergent(LogIndex aPrevious) const
 {
   if (aPrevious > mLog.LastIndex()) {
     return mLog.LastIndex().Next();
@@ -77,7 +79,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const InstallSnapshot& aRequest)
+Consensus::HandleMessage(ReplicaId aFrom, const InstallSnapshot& aRequest)
 {
   if (!AcceptLeader(aFrom, aRequest.mTerm)) {
     ReplyAppend(aFrom, aRequest.mRound, false, LogIndex());
--- a/src/control/ConsensusLeader.cpp
+++ b/src/control/ConsensusLeader.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Rounds remembered; an answer to an older one extends no lease. */
+/** The number of rounds tracked; a reply to an older round extends no lease. */
 constexpr std::size_t kMaxRounds = 64;
 
 } // namespace
@@ -85,7 +85,7 @@
 }
 
 void
-Consensus::TakeMessage(ReplicaId aFrom, const AppendReply& aReply)
+Consensus::HandleMessage(ReplicaId aFrom, const AppendReply& aReply)
 {
   if (aReply.mTerm > mVote.mTerm) {
     BecomeFollower(aReply.mTerm, ReplicaId());
@@ -107,18 +107,18 @@
   }
   progress.mAwaiting = false;
   if (aReply.mAccepted) {
-    TakeAccepted(progress, aReply.mIndex);
+    HandleAppendAccepted(progress, aReply.mIndex);
   } else {
-    TakeRefused(progress, aReply.mIndex);
+    HandleAppendRejected(progress, aReply.mIndex);
   }
-  // TakeAccepted may have committed this replica's own removal.
+  // HandleAppendAccepted may have committed this replica's own removal.
   if (mRole == Role::kLeader && progress.mNext <= mLog.LastIndex()) {
     SendAppend(aFrom, progress);
   }
 }
 
 void
-Consensus::TakeAccepted(FollowerProgress& aProgress, LogIndex aIndex)
+Consensus::HandleAppendAccepted(FollowerProgress& aProgress, LogIndex aIndex)
 {
   aProgress.mSnapshotSentAt.reset();
   aProgress.mMatch =
@@ -128,7 +128,7 @@
 }
 
 void
-Consensus::TakeRefused(FollowerProgress& aProgress, LogIndex aIndex)
+Consensus::HandleAppendRejected(FollowerProgress& aProgress, LogIndex aIndex)
 {
   const LogIndex most = std::min(aIndex, mLog.LastIndex().Next());
   aProgress.mNext = std::max(most, aProgress.mMatch.Next());
@@ -160,7 +160,7 @@
 }
 
 std::optional<TimePoint>
-Consensus::QuorumAnsweredAt(TimePoint aNow) const
+Consensus::QuorumAcknowledgedAt(TimePoint aNow) const
 {
   std::vector<TimePoint> answered;
   for (const ReplicaInfo& replica : Replicas().mReplicas) {
@@ -187,17 +187,17 @@
   if (mRole != Role::kLeader || mCommit < mFirstOwnIndex) {
     return false;
   }
-  const std::optional<TimePoint> answered = QuorumAnsweredAt(aNow);
+  const std::optional<TimePoint> answered = QuorumAcknowledgedAt(aNow);
   return answered && aNow < *answered + mOptions.LeaseDuration();
 }
 
-// A leader that was cut off would otherwise keep the role for as long as the
-// cut lasts, and hold its operators' requests without an answer.
+// A partitioned leader would otherwise remain leader as long as the partition
+// lasts, and leave its operators' requests unanswered.
 void
 Consensus::CheckQuorum()
 {
   const TimePoint answered =
-    std::max(QuorumAnsweredAt(mNow).value_or(mLeaderSince), mLeaderSince);
+    std::max(QuorumAcknowledgedAt(mNow).value_or(mLeaderSince), mLeaderSince);
   if (mNow - answered > 2 * mOptions.mElectionTimeout) {
     BecomeFollower(mVote.mTerm, ReplicaId());
   }
--- a/src/control/ControlEntries.cpp
+++ b/src/control/ControlEntries.cpp
@@ -10,21 +10,24 @@
 using membership::EntryHeartbeat;
 using membership::EntryNonce;
 using membership::EpochMap;
-using membership::HeartbeatAnswer;
+using membership::HeartbeatResponse;
 using membership::Member;
+using membership::MembershipStatus;
 using membership::MemberState;
-using membership::Standing;
 
 namespace {
 
-/** A member not heard for this long is reported to the leader. */
-constexpr Duration kReportSilenceAfter = std::chrono::milliseconds(650);
+/**
+ * A member from which nothing was received for this long is reported to the
+ * leader.
+ */
+constexpr Duration kSilenceReportThreshold = std::chrono::milliseconds(650);
 constexpr Duration kReportPeriod = std::chrono::milliseconds(200);
 constexpr Duration kExpirePeriod = std::chrono::seconds(5);
-/** One answer in so many names the replicas. */
-constexpr std::uint64_t kNamesEach = 4;
-/** Pushes at once go to processes heard within this time. */
-constexpr Duration kHeardLately = std::chrono::seconds(1);
+/** One heartbeat response in this many lists the control replicas. */
+constexpr std::uint64_t kReplicaListInterval = 4;
+/** Immediate pushes go to processes heard from within this time. */
+constexpr Duration kRecentlyHeardTimeout = std::chrono::seconds(1);
 
 const Member*
 FindMember(const EpochMap& aMap, MemberId aId)
@@ -42,49 +45,54 @@
 } // namespace
 
 void
-ControlNodeState::Take(const FromEntryEvent& aEvent)
+ControlNodeState::Handle(const FromEntryEvent& aEvent)
 {
   std::visit(
-    [&](const auto& aMessage) { TakeEntry(aEvent.mEnvelope.mNonce, aMessage); },
+    [&](const auto& aMessage) {
+      HandleEntryMessage(aEvent.mEnvelope.mNonce, aMessage);
+    },
     aEvent.mEnvelope.mMessage);
 }
 
 void
-ControlNodeState::TakeEntry(EntryNonce aNonce, const EntryHeartbeat& aHeartbeat)
+ControlNodeState::HandleEntryMessage(EntryNonce aNonce,
+                                     const EntryHeartbeat& aHeartbeat)
 {
   if (!aNonce.IsSet()) {
     return;
   }
-  EntrySession* session = mSessions.Take(aNonce, aHeartbeat, mNow);
+  EntrySession* session = mSessions.RecordHeartbeat(aNonce, aHeartbeat, mNow);
   if (session == nullptr) {
     return;
   }
-  const HeartbeatAnswer answer = AnswerFor(aNonce, aHeartbeat);
+  const HeartbeatResponse answer = HeartbeatResponseFor(aNonce, aHeartbeat);
   if (answer.mLeads || aHeartbeat.mSeeksLeader) {
     SendToEntry(aNonce, answer);
   }
-  if (answer.mLeads && answer.mStanding != Standing::kRemoved) {
+  if (answer.mLeads && answer.mMembershipStatus != MembershipStatus::kRemoved) {
     PushIfBehind(aNonce, *session);
   }
 }
 
-HeartbeatAnswer
-ControlNodeState::AnswerFor(EntryNonce aNonce, const EntryHeartbeat& aHeartbeat)
+HeartbeatResponse
+ControlNodeState::HeartbeatResponseFor(EntryNonce aNonce,
+                                       const EntryHeartbeat& aHeartbeat)
 {
-  HeartbeatAnswer answer;
+  HeartbeatResponse answer;
   answer.mSequence = aHeartbeat.mSequence;
   answer.mLeaderHint = LeaderAddress();
   // Without the lease another replica may lead and have committed newer
-  // settings: confirming the ones known here would let the entry serve by old
-  // ones.
+  // settings. Confirming the settings known here would let the entry serve
+  // under outdated ones.
   if (!Leads(mNow)) {
-    // Only an entry that has lost the leader looks at them.
-    if (aHeartbeat.mSequence % kNamesEach == 1) {
+    // Only an entry that has lost the leader uses these addresses.
+    if (aHeartbeat.mSequence % kReplicaListInterval == 1) {
       answer.mControls = ReplicaAddresses();
     }
     return answer;
   }
-  if (aHeartbeat.mSeeksLeader || aHeartbeat.mSequence % kNamesEach == 1) {
+  if (aHeartbeat.mSeeksLeader ||
+      aHeartbeat.mSequence % kReplicaListInterval == 1) {
     answer.mControls = ReplicaAddresses();
     answer.mVoters = static_cast<std::uint32_t>(Replicas().VoterCount());
   }
@@ -97,14 +105,14 @@
   answer.mLeads = true;
   answer.mConfirmed = State().mSettings.mRevision;
   answer.mEpoch = members.mCurrent.mEpoch;
-  TakeStanding(aNonce, aHeartbeat, answer);
+  ApplyMembershipStatus(aNonce, aHeartbeat, answer);
   return answer;
 }
 
 void
-ControlNodeState::TakeStanding(EntryNonce aNonce,
-                               const EntryHeartbeat& aHeartbeat,
-                               HeartbeatAnswer& aAnswer)
+ControlNodeState::ApplyMembershipStatus(EntryNonce aNonce,
+                                        const EntryHeartbeat& aHeartbeat,
+                                        HeartbeatResponse& aAnswer)
 {
   const auto& members = State().mMembership;
   const auto member = members.mNonces.find(aNonce);
@@ -113,13 +121,15 @@
     const bool over =
       aHeartbeat.mMember.IsSet() ||
       std::find(removed.begin(), removed.end(), aNonce) != removed.end();
-    aAnswer.mStanding = over ? Standing::kRemoved : Standing::kUnknown;
+    aAnswer.mMembershipStatus =
+      over ? MembershipStatus::kRemoved : MembershipStatus::kUnknown;
     return;
   }
   const Member* info = FindMember(members.mCurrent, member->second);
   const bool draining =
     info != nullptr && info->mState == MemberState::kDraining;
-  aAnswer.mStanding = draining ? Standing::kDraining : Standing::kActive;
+  aAnswer.mMembershipStatus =
+    draining ? MembershipStatus::kDraining : MembershipStatus::kActive;
   aAnswer.mMember = member->second;
   aAnswer.mLease = mOptions.mEntryLease;
   if (MemberView* view = mSessions.Member(member->second)) {
@@ -178,9 +188,9 @@
 }
 
 // Right after a commit, entries that are nearly up to date get the change at
-// once. The others get what they lack with their next heartbeats, spread over
-// a heartbeat period, so that a whole tree isn't copied for all of them at the
-// same moment.
+// once. The others get the missing changes with their next heartbeats, spread
+// over a heartbeat period, so that the whole tree isn't copied for all of them
+// at the same moment.
 void
 ControlNodeState::PushToAll()
 {
@@ -191,7 +201,7 @@
   const Revision revision = State().mSettings.mRevision;
   const EpochNumber epoch = State().mMembership.mCurrent.mEpoch;
   for (auto& [nonce, session] : mSessions.All()) {
-    if (mNow - session.mHeardAt > kHeardLately) {
+    if (mNow - session.mHeardAt > kRecentlyHeardTimeout) {
       continue;
     }
     const Revision settings =
@@ -208,8 +218,8 @@
 }
 
 void
-ControlNodeState::TakeEntry(EntryNonce aNonce,
-                            const membership::SettingsPull& aPull)
+ControlNodeState::HandleEntryMessage(EntryNonce aNonce,
+                                     const membership::SettingsPull& aPull)
 {
   EntrySession* session = mSessions.Find(aNonce);
   if (session != nullptr && aPull.mHave < State().mSettings.mRevision) {
@@ -218,8 +228,8 @@
 }
 
 void
-ControlNodeState::TakeEntry(EntryNonce aNonce,
-                            const membership::EpochPull& aPull)
+ControlNodeState::HandleEntryMessage(EntryNonce aNonce,
+                                     const membership::EpochPull& aPull)
 {
   EntrySession* session = mSessions.Find(aNonce);
   if (session != nullptr && aPull.mHave < State().mMembership.mCurrent.mEpoch) {
@@ -228,22 +238,22 @@
 }
 
 void
-ControlNodeState::TakeEpochMade(const EpochMap& aBefore)
+ControlNodeState::HandleEpochCommitted(const EpochMap& aBefore)
 {
   const auto& members = State().mMembership;
   for (const Member& member : aBefore.mMembers) {
     if (FindMember(members.mCurrent, member.mId) == nullptr) {
-      NoteDeparted(member);
+      RecordRemovedEntry(member);
     }
   }
-  mSessions.TakeMembers(members.mNonces, mNow);
+  mSessions.UpdateMembers(members.mNonces, mNow);
   if (mEpochPlanner) {
     mEpochPlanner->TakeEpoch(members.mChanges.back(), aBefore, mNow);
   }
   Notice(ControlNotice::kEpochMade,
          "epoch=" + std::to_string(members.mCurrent.mEpoch.Value()) +
            " members=" + std::to_string(members.mCurrent.mMembers.size()));
-  // Drains that waited for this epoch, or whose member is gone.
+  // Completes drains that waited for this epoch or whose member is gone.
   std::erase_if(mPendingDrains, [&](const auto& aPair) {
     const Member* member = FindMember(members.mCurrent, aPair.first);
     if (member != nullptr && member->mState == MemberState::kActive) {
@@ -251,18 +261,18 @@
     }
     for (const CallId call : aPair.second) {
       Answer(call,
-             DrainAnswer{ .mMember = aPair.first,
-                          .mEpoch = members.mCurrent.mEpoch });
+             DrainResponse{ .mMember = aPair.first,
+                            .mEpoch = members.mCurrent.mEpoch });
     }
     return true;
   });
 }
 
-// A removed entry that is cut off goes on by its old settings until its last
-// confirmation is too old. If it were forgotten at once, an edit would be
-// called in force while somebody still works by the settings before it.
+// A removed entry that is partitioned keeps using its old settings until its
+// last confirmation expires. If it were dropped at once, an edit would be
+// reported in force while that entry still applies the earlier settings.
 void
-ControlNodeState::NoteDeparted(const Member& aMember)
+ControlNodeState::RecordRemovedEntry(const Member& aMember)
 {
   const EntrySession* session = mSessions.SessionOf(aMember.mId);
   if (session != nullptr && session->mDone) {
@@ -274,10 +284,10 @@
   const double rate = 1.0 + 2.0 * mOptions.mConsensus.mClockRateBound;
   const Duration grace(static_cast<Duration::rep>(
     static_cast<double>(mOptions.mConfirmationGrace.count()) * rate));
-  mDeparted.push_back(
-    Departed{ .mName = aMember.mName,
-              .mInForce = session == nullptr ? Revision() : session->mInForce,
-              .mUntil = confirmed + grace });
+  mRemovedEntries.push_back(RemovedEntry{
+    .mName = aMember.mName,
+    .mInForce = session == nullptr ? Revision() : session->mInForce,
+    .mUntil = confirmed + grace });
 }
 
 void
@@ -287,7 +297,7 @@
     mExpiredAt = mNow;
     mSessions.Expire(mNow);
   }
-  std::erase_if(mDeparted, [&](const Departed& aDeparted) {
+  std::erase_if(mRemovedEntries, [&](const RemovedEntry& aDeparted) {
     return aDeparted.mUntil <= mNow;
   });
   if (mEpochProposed) {
@@ -295,7 +305,7 @@
   }
   auto command = mEpochPlanner->Plan(
     mSessions, State().mMembership, mConsensus->Replicas(), mNow);
-  for (const MemberId member : mEpochPlanner->TakeNewlySilent()) {
+  for (const MemberId member : mEpochPlanner->ExtractNewlySilent()) {
     Notice(ControlNotice::kMemberSilent,
            "member=" + std::to_string(member.Value()));
   }
@@ -317,7 +327,7 @@
                         .mEpoch = State().mMembership.mCurrent.mEpoch,
                         .mSilent = {} };
   for (const auto& [member, view] : mSessions.Members()) {
-    if (mNow - view.mHeardAt >= kReportSilenceAfter) {
+    if (mNow - view.mHeardAt >= kSilenceReportThreshold) {
       report.mSilent.push_back(
         { .mMember = member, .mSilentFor = mNow - view.mHeardAt });
     }
--- a/src/control/ControlJoin.cpp
+++ b/src/control/ControlJoin.cpp
@@ -13,16 +13,16 @@
   mApplied = aState.mSnapshot ? aState.mSnapshot->mIndex : LogIndex();
   mCompactedAt = mApplied;
   mConsensus.emplace(mOptions.mConsensus, std::move(aState), mNow, aLastToken);
-  mSessions.TakeMembers(State().mMembership.mNonces, mNow);
+  mSessions.UpdateMembers(State().mMembership.mNonces, mNow);
 }
 
 // An empty folder may belong to a replica that lost its disk, and with it its
-// votes and acknowledged entries. If it came back under its old identity, a
-// majority could be made of replicas that have all forgotten a committed edit.
-// So it gets a new identity from the log, and counts in no majority before it
-// has the whole log again.
+// votes and acknowledged entries. If it rejoined under its old identity, a
+// majority could consist of replicas that have all lost a committed edit. It
+// therefore gets a new identity from the log and counts in no majority before
+// it has the whole log again.
 void
-ControlNodeState::AskForIdentity()
+ControlNodeState::RequestIdentity()
 {
   constexpr Duration kAskPeriod = std::chrono::milliseconds(100);
   const bool asked = mAskedAt != TimePoint() && mNow - mAskedAt < kAskPeriod;
@@ -42,14 +42,15 @@
 }
 
 void
-ControlNodeState::TakeJoin(const Address& aReplyTo, const JoinRequest& aRequest)
+ControlNodeState::HandleJoinRequest(const Address& aReplyTo,
+                                    const JoinRequest& aRequest)
 {
   if (!mConsensus) {
     return;
   }
-  NoteReplaced(aRequest);
+  RecordReplacedReplica(aRequest);
   if (Leads(mNow)) {
-    mReplicaPlanner->TakeJoin(aRequest, aReplyTo, mNow);
+    mReplicaPlanner->HandleJoinRequest(aRequest, aReplyTo, mNow);
     return;
   }
   if (const auto leader = LeaderAddress();
@@ -63,25 +64,26 @@
   }
 }
 
-// Whoever asks for an identity has none, and listens where the replica of an
-// earlier one did: that one's process is over. Without it the others would keep
-// their silence for it, half a second after everything was killed and one disk
-// lost, with nobody served meanwhile. Connections do not outlive a process, so
-// the request was sent by a process that ran after this one had started; one
-// that has got the identity since bears the nonce that it asked with.
+// A process that requests an identity has none. If it listens at the address of
+// an earlier identity's replica, that replica's process has ended. Without this
+// rule the others would withhold their votes for it, and for half a second
+// after a crash of all replicas with one lost disk no request would be served.
+// Connections don't outlive a process, so the request was sent by a process
+// that ran after this one had started. A process that has since been given the
+// identity carries the nonce that it sent with the request.
 void
-ControlNodeState::NoteReplaced(const JoinRequest& aRequest)
+ControlNodeState::RecordReplacedReplica(const JoinRequest& aRequest)
 {
   for (const ReplicaInfo& replica : mConsensus->Replicas().mReplicas) {
     if (replica.mAddress == aRequest.mAddress &&
         replica.mNonce != aRequest.mNonce) {
-      mConsensus->NoteEnded(replica.mId);
+      mConsensus->RecordEndedReplica(replica.mId);
     }
   }
 }
 
 void
-ControlNodeState::TakeJoinReply(SystemId aSystem, const JoinReply& aReply)
+ControlNodeState::HandleJoinReply(SystemId aSystem, const JoinReply& aReply)
 {
   if (mConsensus || mNewIdentity || aReply.mNonce != mOptions.mNonce) {
     return;
@@ -93,14 +95,14 @@
   }
   if (!aReply.mReplica) {
     if (!aReply.mLeader) {
-      NoticeRefusal("reason=" + aReply.mReason);
+      LogJoinRefusal("reason=" + aReply.mReason);
     }
     return;
   }
   const ReplicaIdentity identity{ .mSystem = aSystem,
                                   .mReplica = *aReply.mReplica };
   mNewIdentity =
-    Identity{ .mIdentity = identity, .mToken = mTokensUsed.Next() };
+    Identity{ .mIdentity = identity, .mToken = mLastIssuedToken.Next() };
   PersistEffect write;
   write.mReset = true;
   write.mToken = mNewIdentity->mToken;
@@ -108,12 +110,12 @@
   mEffects.emplace_back(std::move(write));
 }
 
-// A voter that was cut off may lose its place meanwhile. When it comes back it
-// asks for votes for ever, and its disk is of no use to anybody; told that its
-// identity is over it can join again. Only the committed set says so: a set
-// that is not committed may still be replaced.
+// A partitioned voter may be replaced meanwhile. When it reconnects it would
+// request votes forever, and its disk is useless; once notified that its
+// identity has ended it can join again. Only the committed set decides this,
+// because an uncommitted set may still be replaced.
 bool
-ControlNodeState::AnswerRemoved(const ReplicaEnvelope& aEnvelope)
+ControlNodeState::NotifyIfRemoved(const ReplicaEnvelope& aEnvelope)
 {
   const ReplicaSet& set = mConsensus->Replicas();
   const bool removed =
@@ -128,7 +130,7 @@
 }
 
 void
-ControlNodeState::TakeRemoved(const ReplicaEnvelope& aEnvelope)
+ControlNodeState::HandleRemovedNotice(const ReplicaEnvelope& aEnvelope)
 {
   const auto& notice = std::get<RemovedNotice>(aEnvelope.mMessage);
   if (!mConsensus || aEnvelope.mSystem != mIdentity->mSystem ||
@@ -143,16 +145,16 @@
       mSeeds.push_back(address);
     }
   }
-  mTokensUsed = mConsensus->LastToken();
+  mLastIssuedToken = mConsensus->LastToken();
   mConsensus.reset();
   mIdentity.reset();
   mLearnedAddresses.clear();
   mOptions.mNonce = JoinNonce(mOptions.mNonce.Value() * 2654435761U + 1);
 }
 
-// A replica asks ten times a second; the log needs each reason once.
+// A replica sends ten requests a second; each reason is logged once.
 void
-ControlNodeState::NoticeRefusal(const std::string& aText)
+ControlNodeState::LogJoinRefusal(const std::string& aText)
 {
   if (aText != mLastRefusal) {
     mLastRefusal = aText;
@@ -163,10 +165,11 @@
 void
 ControlNodeState::PlanReplicas()
 {
-  for (JoinVerdict& verdict : mReplicaPlanner->Verdicts(*mConsensus, mNow)) {
+  for (JoinDecision& verdict :
+       mReplicaPlanner->ExtractDecisions(*mConsensus, mNow)) {
     if (!verdict.mReplica) {
-      NoticeRefusal("name=" + verdict.mRequest.mName.Value() +
-                    " reason=" + verdict.mReason);
+      LogJoinRefusal("name=" + verdict.mRequest.mName.Value() +
+                     " reason=" + verdict.mReason);
     }
     SendTo(verdict.mReplyTo,
            ReplicaId(),
--- a/src/control/ControlVotes.cpp
+++ b/src/control/ControlVotes.cpp
@@ -1,6 +1,6 @@
-// What is told of elections. A group that elects nobody can be waiting for a
-// message, for a disk, or for a leader's lease: the lines tell which, as a
-// promise leaves only once it has synced.
+// Log events about elections. A group without a leader can be waiting for a
+// message, a disk or a leader's lease. The events show which, because a promise
+// is sent only once it has synced.
 
 #include "control/ControlNodeState.h"
 
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-ControlNodeState::NoteVoteSent(const SendReplicaEffect& aSend)
+ControlNodeState::LogVoteSent(const SendReplicaEffect& aSend)
 {
   if (const auto* request = std::get_if<VoteRequest>(&aSend.mMessage)) {
     Notice(ControlNotice::kVoteAsked,
@@ -37,9 +37,11 @@
   }
 }
 
-// A request without an answer was dropped: this replica hears a leader.
+// A request without a reply was dropped because this replica has recently heard
+// from a leader.
 void
-ControlNodeState::NoteVoteHeard(ReplicaId aFrom, const ReplicaMessage& aMessage)
+ControlNodeState::LogVoteReceived(ReplicaId aFrom,
+                                  const ReplicaMessage& aMessage)
 {
   if (const auto* request = std::get_if<VoteRequest>(&aMessage)) {
     Notice(ControlNotice::kVoteHeard,
@@ -49,7 +51,7 @@
 }
 
 void
-ControlNodeState::NoteVoteSaved(const PersistEffect& aWrite)
+ControlNodeState::LogVoteSaved(const PersistEffect& aWrite)
 {
   if (aWrite.mVote) {
     Notice(ControlNotice::kVoteSaved,
--- a/src/control/EntrySessions.cpp
+++ b/src/control/EntrySessions.cpp
@@ -14,9 +14,9 @@
 }
 
 EntrySession*
-EntrySessions::Take(membership::EntryNonce aNonce,
-                    const membership::EntryHeartbeat& aHeartbeat,
-                    TimePoint aNow)
+EntrySessions::RecordHeartbeat(membership::EntryNonce aNonce,
+                               const membership::EntryHeartbeat& aHeartbeat,
+                               TimePoint aNow)
 {
   EntrySession* session = Find(aNonce);
   if (session == nullptr) {
@@ -29,7 +29,8 @@
     session->mProfile = aHeartbeat.mProfile;
   }
   session->mHeardAt = aNow;
-  // Heartbeats may be doubled or reordered; what they report only rises.
+  // Heartbeats may be duplicated or reordered; the reported values only
+  // increase.
   session->mInForce = std::max(session->mInForce, aHeartbeat.mInForce);
   session->mEpoch = std::max(session->mEpoch, aHeartbeat.mEpoch);
   session->mLeaving = session->mLeaving || aHeartbeat.mLeaving;
@@ -57,7 +58,7 @@
 }
 
 void
-EntrySessions::TakeMembers(
+EntrySessions::UpdateMembers(
   const std::map<membership::EntryNonce, MemberId>& aNonces,
   TimePoint aNow)
 {
--- a/src/control/EntrySessions.h
+++ b/src/control/EntrySessions.h
@@ -10,7 +10,7 @@
 
 namespace peridotspool::control {
 
-/** What a control replica knows of one entry process. */
+/** A control replica's state for one entry process. */
 struct EntrySession
 {
   std::optional<membership::EntryProfile> mProfile;
@@ -20,33 +20,33 @@
   bool mLeaving = false;
   bool mDone = false;
   std::vector<MemberId> mSuspected;
-  /** The last pushes, so that they aren't repeated with every heartbeat. */
+  /** The latest pushes, so that they aren't repeated with every heartbeat. */
   Revision mPushedRevision;
   TimePoint mPushedRevisionAt;
   EpochNumber mPushedEpoch;
   TimePoint mPushedEpochAt;
 };
 
-/** What a control replica knows of one member, with or without a session. */
+/** A control replica's state for one member, with or without a session. */
 struct MemberView
 {
   membership::EntryNonce mNonce;
-  /** When it was heard last, or first known. */
+  /** When the last message was received from it, or when it became known. */
   TimePoint mHeardAt;
-  /** When this replica, as a leader, last gave it a lease. */
+  /** When this replica, as the leader, last granted it a lease. */
   std::optional<TimePoint> mGrantedAt;
 };
 
-/** The entry processes that speak with this control replica. */
+/** The entry processes that send heartbeats to this control replica. */
 class EntrySessions
 {
 public:
   explicit EntrySessions(std::size_t aMaxSessions);
 
-  /** Takes a heartbeat; returns null when the table is full. */
-  EntrySession* Take(membership::EntryNonce aNonce,
-                     const membership::EntryHeartbeat& aHeartbeat,
-                     TimePoint aNow);
+  /** Records a heartbeat; returns null when the table is full. */
+  EntrySession* RecordHeartbeat(membership::EntryNonce aNonce,
+                                const membership::EntryHeartbeat& aHeartbeat,
+                                TimePoint aNow);
   EntrySession* Find(membership::EntryNonce aNonce);
   const EntrySession* Find(membership::EntryNonce aNonce) const;
   std::unordered_map<membership::EntryNonce, EntrySession>& All()
@@ -58,16 +58,16 @@
     return mSessions;
   }
 
-  /** Takes the current members: new ones count as heard now. */
-  void TakeMembers(const std::map<membership::EntryNonce, MemberId>& aNonces,
-                   TimePoint aNow);
+  /** Replaces the current members; new ones count as heard from now. */
+  void UpdateMembers(const std::map<membership::EntryNonce, MemberId>& aNonces,
+                     TimePoint aNow);
   MemberView* Member(MemberId aMember);
   const MemberView* Member(MemberId aMember) const;
   const std::map<MemberId, MemberView>& Members() const { return mMembers; }
   /** Returns the session of a member, or null. */
   const EntrySession* SessionOf(MemberId aMember) const;
 
-  /** Forgets processes that haven't been heard for a long time. */
+  /** Drops processes from which nothing has been received for a long time. */
   void Expire(TimePoint aNow);
 
 private:
--- a/src/control/EpochPlanner.h
+++ b/src/control/EpochPlanner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "control/EntrySessions.h"
-#include "control/SuspectCount.h"
+#include "control/SuspectTracker.h"
 #include "peridotspool/control/Command.h"
 #include "peridotspool/control/ControlOptions.h"
 #include "peridotspool/control/MembershipState.h"
@@ -16,9 +16,9 @@
 namespace peridotspool::control {
 
 /**
- * The leader's decisions about members: who joins, drains and is removed, and
- * when that makes an epoch. Its memory is a leader's: a new leader starts with
- * an empty one.
+ * The leader's decisions about members: which ones join, drain and are removed,
+ * and when the changes form an epoch. Its state isn't replicated: a new leader
+ * starts with an empty planner.
  */
 class EpochPlanner
 {
@@ -27,24 +27,27 @@
                ReplicaId aSelf,
                TimePoint aLeaderSince);
 
-  /** Another replica tells whom it doesn't hear. */
-  void TakeReport(ReplicaId aFrom,
-                  const SilenceReport& aReport,
-                  TimePoint aNow);
-  /** An operator wants this member to leave. */
-  void TakeDrain(MemberId aMember);
-  /** An epoch was committed. */
+  /** Records another replica's report of silent members. */
+  void HandleSilenceReport(ReplicaId aFrom,
+                           const SilenceReport& aReport,
+                           TimePoint aNow);
+  /** Records an operator's request to drain this member. */
+  void HandleDrain(MemberId aMember);
+  /** Records a committed epoch. */
   void TakeEpoch(const membership::EpochChange& aChange,
                  const membership::EpochMap& aBefore,
                  TimePoint aNow);
 
-  /** Returns true iff the member is to get no lease, so that it can go. */
+  /**
+   * Returns true iff the member must get no further lease, because it is about
+   * to be removed.
+   */
   bool IsWithheld(MemberId aMember) const;
 
-  /** Returns members that a majority has stopped hearing, each once. */
-  std::vector<MemberId> TakeNewlySilent();
+  /** Returns members that a majority newly considers silent, each once. */
+  std::vector<MemberId> ExtractNewlySilent();
 
-  /** Returns what is to be committed now, if anything. */
+  /** Returns the membership change to commit now, if any. */
   std::optional<MembershipCommand> Plan(EntrySessions& aSessions,
                                         const MembershipState& aState,
                                         const ReplicaSet& aReplicas,
@@ -85,7 +88,7 @@
   TimePoint mLeaderSince;
   TimePoint mNow;
   std::map<ReplicaId, Report> mReports;
-  SuspectCount mSuspects;
+  SuspectTracker mSuspects;
   std::set<MemberId> mWithheld;
   std::vector<MemberId> mNewlySilent;
   std::set<MemberId> mDrains;
--- a/src/control/ReplicaSetPlanner.cpp
+++ b/src/control/ReplicaSetPlanner.cpp
@@ -6,10 +6,13 @@
 
 namespace {
 
-/** A joining replica asks again within this time, or has given up. */
-constexpr Duration kAskedLately = std::chrono::seconds(3);
-/** A learner this close to the log's end has caught up. */
-constexpr std::uint64_t kCaughtUpWithin = 16;
+/**
+ * A joining replica that hasn't repeated its request within this time has given
+ * up.
+ */
+constexpr Duration kJoinRequestTimeout = std::chrono::seconds(3);
+/** A learner that lags by at most this many entries has caught up. */
+constexpr std::uint64_t kMaxCaughtUpLag = 16;
 
 const ReplicaInfo*
 FindNonce(const ReplicaSet& aSet, JoinNonce aNonce)
@@ -75,9 +78,9 @@
 }
 
 void
-ReplicaSetPlanner::TakeJoin(const JoinRequest& aRequest,
-                            const Address& aReplyTo,
-                            TimePoint aNow)
+ReplicaSetPlanner::HandleJoinRequest(const JoinRequest& aRequest,
+                                     const Address& aReplyTo,
+                                     TimePoint aNow)
 {
   mPending[aRequest.mNonce] = { aRequest, aReplyTo, aNow };
 }
@@ -94,7 +97,7 @@
                                ReplicaId aReplica,
                                Duration aTime) const
 {
-  // A new leader hasn't had the time to hear the others; none of them is to
+  // A new leader hasn't yet had time to hear from the others; none of them may
   // be replaced for that.
   if (aReplica == aConsensus.Self() || mNow - mLeaderSince < aTime) {
     return false;
@@ -104,11 +107,11 @@
          mNow - *found->second.mAnsweredAt >= aTime;
 }
 
-// Only one process can listen at an address: one that asks for an identity
-// from there is proof that the earlier process is gone, without a wait.
+// Only one process can listen at an address: a request for an identity from
+// there proves without a wait that the earlier process has ended.
 bool
-ReplicaSetPlanner::IsReborn(const ReplicaInfo& aEarlier,
-                            const JoinRequest& aRequest) const
+ReplicaSetPlanner::ReplacesEndedProcess(const ReplicaInfo& aEarlier,
+                                        const JoinRequest& aRequest) const
 {
   return mOptions.mReplaceSilentAfter && aEarlier.mAddress == aRequest.mAddress;
 }
@@ -136,12 +139,12 @@
   const auto found = aConsensus.Progress().find(aReplica);
   return found != aConsensus.Progress().end() &&
          IsAlive(aConsensus, aReplica) && found->second.mMatch.IsSet() &&
-         found->second.mMatch.Value() + kCaughtUpWithin >=
+         found->second.mMatch.Value() + kMaxCaughtUpLag >=
            aConsensus.LastIndex().Value();
 }
 
-// Two processes with one name are a mistake in the settings, unless the earlier
-// one is gone. Taking a live voter's place would cost a copy of the log.
+// Two processes with one name are a configuration error, unless the earlier one
+// has ended. Replacing a live voter would cost a copy of the log.
 std::string
 ReplicaSetPlanner::Refusal(const Consensus& aConsensus,
                            const JoinRequest& aRequest) const
@@ -149,7 +152,7 @@
   const ReplicaSet& set = aConsensus.Replicas();
   const ReplicaInfo* earlier =
     FindEarlier(set, aRequest.mName, aRequest.mNonce);
-  if (earlier != nullptr && !IsReborn(*earlier, aRequest) &&
+  if (earlier != nullptr && !ReplacesEndedProcess(*earlier, aRequest) &&
       IsAlive(aConsensus, earlier->mId)) {
     return "replica " + aRequest.mName.Value() + " is alive with identity " +
            std::to_string(earlier->mId.Value());
@@ -163,20 +166,20 @@
   return {};
 }
 
-std::vector<JoinVerdict>
-ReplicaSetPlanner::Verdicts(const Consensus& aConsensus, TimePoint aNow)
+std::vector<JoinDecision>
+ReplicaSetPlanner::ExtractDecisions(const Consensus& aConsensus, TimePoint aNow)
 {
   mNow = aNow;
   std::erase_if(mPending, [&](const auto& aPair) {
-    return aNow - aPair.second.mAskedAt > kAskedLately;
+    return aNow - aPair.second.mAskedAt > kJoinRequestTimeout;
   });
-  std::vector<JoinVerdict> verdicts;
+  std::vector<JoinDecision> verdicts;
   for (auto pending = mPending.begin(); pending != mPending.end();) {
     const JoinRequest& request = pending->second.mRequest;
-    JoinVerdict verdict{ .mRequest = request,
-                         .mReplyTo = pending->second.mReplyTo,
-                         .mReplica = {},
-                         .mReason = {} };
+    JoinDecision verdict{ .mRequest = request,
+                          .mReplyTo = pending->second.mReplyTo,
+                          .mReplica = {},
+                          .mReason = {} };
     const ReplicaInfo* known = FindNonce(aConsensus.Replicas(), request.mNonce);
     if (known != nullptr && aConsensus.ReplicaSetSettled()) {
       verdict.mReplica = known->mId;
@@ -213,7 +216,7 @@
         !Refusal(aConsensus, pending.mRequest).empty()) {
       continue;
     }
-    // A learner that lost its disk before it was voted in is simply replaced.
+    // A learner that lost its disk before it became a voter is simply replaced.
     const ReplicaInfo* earlier =
       FindEarlier(set, pending.mRequest.mName, nonce);
     if (earlier != nullptr && !earlier->mVoter) {
--- a/src/control/StateMachine.cpp
+++ b/src/control/StateMachine.cpp
@@ -14,32 +14,33 @@
 ApplyResult
 StateMachine::Apply(const Command& aCommand)
 {
-  return std::visit([this](const auto& aOne) { return ApplyOne(aOne); },
+  return std::visit([this](const auto& aOne) { return ApplyCommand(aOne); },
                     aCommand);
 }
 
 ApplyResult
-StateMachine::ApplyOne(const NoopCommand&)
+StateMachine::ApplyCommand(const NoopCommand&)
 {
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const ReplicaSetCommand&)
+StateMachine::ApplyCommand(const ReplicaSetCommand&)
 {
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const FencingCommand&)
+StateMachine::ApplyCommand(const FencingCommand&)
 {
   mState.mLastFencing = mState.mLastFencing.Next();
   return mState.mLastFencing;
 }
 
-// The first counts of a window stay: they may have been told already.
+// The first counts of a window are final because they may have been reported
+// already.
 ApplyResult
-StateMachine::ApplyOne(const UsageCommand& aCommand)
+StateMachine::ApplyCommand(const UsageCommand& aCommand)
 {
   auto& usage = mState.mUsage;
   if (usage.empty() || aCommand.mWindow.mNumber > usage.back().mNumber) {
@@ -48,20 +49,20 @@
       usage.erase(usage.begin());
     }
   }
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const QuotaFloorsCommand& aCommand)
+StateMachine::ApplyCommand(const QuotaFloorsCommand& aCommand)
 {
   if (aCommand.mFloors.mNumber > mState.mQuotaFloors.mNumber) {
     mState.mQuotaFloors = aCommand.mFloors;
   }
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 ApplyResult
-StateMachine::ApplyOne(const QuarantineCommand& aCommand)
+StateMachine::ApplyCommand(const QuarantineCommand& aCommand)
 {
   for (const routing::QuarantineChange& change : aCommand.mChanges) {
     mState.mQuarantine.Apply(change);
@@ -70,7 +71,7 @@
 }
 
 ApplyResult
-StateMachine::ApplyOne(const RolloutCommand& aCommand)
+StateMachine::ApplyCommand(const RolloutCommand& aCommand)
 {
   return std::visit([this](const auto& aOne) { return ApplyRollout(aOne); },
                     aCommand.mChange);
@@ -97,7 +98,7 @@
 StateMachine::ApplyRollout(const rollout::RolloutAdvance& aAdvance)
 {
   mState.mRollouts.Advance(aAdvance);
-  return NothingApplied{};
+  return NoResultApplied{};
 }
 
 } // namespace peridotspool::control
--- a/src/control/StateMachineSettings.cpp
+++ b/src/control/StateMachineSettings.cpp
@@ -7,20 +7,21 @@
 namespace peridotspool::control {
 
 ApplyResult
-StateMachine::ApplyOne(const EditCommand& aCommand)
+StateMachine::ApplyCommand(const EditCommand& aCommand)
 {
-  // A resent edit must not be judged anew: its base is old by now, so it would
-  // be told that it lost, to itself. The kept answer survives a leader change
-  // and a snapshot, because it is part of the replicated state.
+  // A resent edit must not be evaluated again: its base is outdated by then, so
+  // it would be reported to have lost against itself. The retained response
+  // survives a leader change and a snapshot because it is part of the
+  // replicated state.
   if (const auto known = KnownEdit(aCommand.mEdit, aCommand.mDigest)) {
     return *known;
   }
-  const EditAnswer answer = Judge(aCommand);
+  const EditResponse answer = Judge(aCommand);
   Remember(aCommand, answer);
   return answer;
 }
 
-EditAnswer
+EditResponse
 StateMachine::Judge(const EditCommand& aCommand)
 {
   SettingsState& settings = mState.mSettings;
@@ -30,16 +31,16 @@
   LastReason reason;
   auto text = ApplyDelta(settings.mText, aCommand.mDelta, reason);
   if (!text) {
-    return EditAnswer{ .mVerdict = EditVerdict::kInvalid,
-                       .mRevision = settings.mRevision,
-                       .mWinner = EditId(),
-                       .mReason = reason.Text() };
+    return EditResponse{ .mVerdict = EditVerdict::kInvalid,
+                         .mRevision = settings.mRevision,
+                         .mWinner = EditId(),
+                         .mReason = reason.Text() };
   }
   ReplaceText(std::move(*text), aCommand.mEdit, aCommand.mAuthor);
-  return EditAnswer{ .mVerdict = EditVerdict::kCommitted,
-                     .mRevision = settings.mRevision,
-                     .mWinner = EditId(),
-                     .mReason = {} };
+  return EditResponse{ .mVerdict = EditVerdict::kCommitted,
+                       .mRevision = settings.mRevision,
+                       .mWinner = EditId(),
+                       .mReason = {} };
 }
 
 void
@@ -57,12 +58,12 @@
   TrimHistory();
 }
 
-// Two operators may send documents at the same time, and an older one may come
-// again after its answer was lost. The highest version wins whatever the order
-// in the log; what it overtakes is answered as accepted, because a refusal
-// would contradict an acknowledgement that was given before.
+// Two operators may send documents at the same time, and an older one may be
+// resent after its response was lost. The highest version wins regardless of
+// the order in the log. A document with a lower version is reported as
+// accepted, because a refusal would contradict an earlier acknowledgement.
 ApplyResult
-StateMachine::ApplyOne(const DocumentCommand& aCommand)
+StateMachine::ApplyCommand(const DocumentCommand& aCommand)
 {
   SettingsState& settings = mState.mSettings;
   if (aCommand.mVersion > settings.mDocument) {
@@ -74,14 +75,15 @@
   return DocumentApplied{ settings.mDocument };
 }
 
-EditAnswer
+EditResponse
 StateMachine::ConflictOf(Revision aBase) const
 {
   const SettingsState& settings = mState.mSettings;
-  EditAnswer answer{ .mVerdict = EditVerdict::kConflict,
-                     .mRevision = settings.mRevision,
-                     .mWinner = EditId(),
-                     .mReason = "the base is too old to say who replaced it" };
+  EditResponse answer{ .mVerdict = EditVerdict::kConflict,
+                       .mRevision = settings.mRevision,
+                       .mWinner = EditId(),
+                       .mReason =
+                         "the base is too old to say who replaced it" };
   if (aBase > settings.mRevision) {
     answer.mVerdict = EditVerdict::kInvalid;
     answer.mReason = "revision " + std::to_string(aBase.Value()) +
@@ -101,7 +103,7 @@
   return answer;
 }
 
-std::optional<EditAnswer>
+std::optional<EditResponse>
 StateMachine::KnownEdit(const EditId& aEdit, std::uint64_t aDigest) const
 {
   const auto known = mState.mSettings.mEdits.find(aEdit);
@@ -109,23 +111,24 @@
     return std::nullopt;
   }
   if (known->second.mDigest != aDigest) {
-    return EditAnswer{ .mVerdict = EditVerdict::kEditIdReused,
-                       .mRevision = mState.mSettings.mRevision,
-                       .mWinner = EditId(),
-                       .mReason = "edit id " + aEdit.Value() +
-                                  " belongs to another edit" };
+    return EditResponse{ .mVerdict = EditVerdict::kEditIdReused,
+                         .mRevision = mState.mSettings.mRevision,
+                         .mWinner = EditId(),
+                         .mReason = "edit id " + aEdit.Value() +
+                                    " belongs to another edit" };
   }
   return known->second.mAnswer;
 }
 
 void
-StateMachine::Remember(const EditCommand& aCommand, const EditAnswer& aAnswer)
+StateMachine::Remember(const EditCommand& aCommand, const EditResponse& aAnswer)
 {
   SettingsState& settings = mState.mSettings;
   settings.mEdits[aCommand.mEdit] = { .mDigest = aCommand.mDigest,
                                       .mAnswer = aAnswer };
   settings.mEditOrder.push_back(aCommand.mEdit);
-  // Dropped by quarters: erasing at the front of a vector moves the rest.
+  // A quarter is dropped at a time because erasing at the front of a vector
+  // moves the rest.
   if (settings.mEditOrder.size() <= mOptions.mMaxEditIds) {
     return;
   }
@@ -155,7 +158,8 @@
   std::for_each(history.begin(), keepFrom, [&](const auto& aChange) {
     bytes -= aChange.mDelta.mRemoved.size() + aChange.mDelta.mInserted.size();
   });
-  // The last change is always kept: it tells a loser who won.
+  // The latest change is always retained: it identifies the winner of a
+  // conflict.
   while (bytes > mOptions.mMaxHistoryBytes && keepFrom + 1 != history.end()) {
     bytes -= keepFrom->mDelta.mRemoved.size();
     bytes -= keepFrom->mDelta.mInserted.size();
--- a/src/control/SuspectCount.cpp
+++ b/src/control/SuspectTracker.cpp
@@ -1,35 +1,36 @@
-#include "control/SuspectCount.h"
+#include "control/SuspectTracker.h"
 
 namespace peridotspool::control {
 
 namespace {
 
-/** Only what was reported within this time counts. */
-constexpr Duration kReportAge = std::chrono::milliseconds(650);
-constexpr std::size_t kLeastReporters = 2;
-constexpr std::size_t kLeastDomains = 2;
+/** The maximum age of a report. */
+constexpr Duration kMaxReportAge = std::chrono::milliseconds(650);
+constexpr std::size_t kMinReporters = 2;
+constexpr std::size_t kMinDomains = 2;
 
 } // namespace
 
-SuspectCount::SuspectCount(Duration aTimeout)
+SuspectTracker::SuspectTracker(Duration aTimeout)
   : mTimeout(aTimeout)
 {
 }
 
 // An entry that its peers can't reach stalls the shards that it holds, while
-// its heartbeats to the control replicas look healthy. Its peers notice. In a
-// cut between two halves everybody reports everybody on the other side; taking
-// out only the one with most reporters leaves the other half with fewer, so
-// that one half goes member by member and the other one stays whole.
+// its heartbeats to the control replicas look healthy. Only its peers detect
+// it. When a partition splits the entries into two halves, each entry reports
+// all entries on the other side. Removing only the one with the most reporters
+// leaves its half with fewer, so that one half is removed member by member and
+// the other stays complete.
 void
-SuspectCount::Update(const EntrySessions& aSessions,
-                     const membership::EpochMap& aMembers,
-                     TimePoint aNow)
+SuspectTracker::Update(const EntrySessions& aSessions,
+                       const membership::EpochMap& aMembers,
+                       TimePoint aNow)
 {
   std::map<MemberId, Suspect> suspects;
   for (const membership::Member& member : aMembers.mMembers) {
     const EntrySession* session = aSessions.SessionOf(member.mId);
-    if (session == nullptr || aNow - session->mHeardAt > kReportAge) {
+    if (session == nullptr || aNow - session->mHeardAt > kMaxReportAge) {
       continue;
     }
     for (const MemberId suspected : session->mSuspected) {
@@ -38,8 +39,8 @@
     }
   }
   std::erase_if(suspects, [&](const auto& aPair) {
-    return aPair.second.mReporters < kLeastReporters ||
-           aPair.second.mDomains.size() < kLeastDomains ||
+    return aPair.second.mReporters < kMinReporters ||
+           aPair.second.mDomains.size() < kMinDomains ||
            aSessions.Member(aPair.first) == nullptr;
   });
   std::erase_if(
--- a/src/fleet/FleetPlanner.cpp
+++ b/src/fleet/FleetPlanner.cpp
@@ -9,7 +9,7 @@
   : mOptions(aOptions)
   , mRecord(aOptions.mRecordHalfLife)
   , mBackoff(aOptions.mRefusalBackoff,
-             aOptions.mRefusalBackoffMost,
+             aOptions.mMaxRefusalBackoff,
              aOptions.mRandomSeed)
   , mLastStart(aOptions.mLastStart)
 {
@@ -19,7 +19,7 @@
 FleetPlanner::Step(const FleetEvent& aEvent, TimePoint aNow)
 {
   mNow = std::max(mNow, aNow);
-  std::visit([this](const auto& aOne) { Take(aOne); }, aEvent);
+  std::visit([this](const auto& aOne) { Handle(aOne); }, aEvent);
   return std::exchange(mEffects, {});
 }
 
@@ -31,7 +31,7 @@
 }
 
 void
-FleetPlanner::Take(const DemandEvent& aEvent)
+FleetPlanner::Handle(const DemandEvent& aEvent)
 {
   std::map<ServiceName, Service> services;
   for (const ServiceDemand& demand : aEvent.mDemands) {
@@ -41,20 +41,22 @@
       service = known->second;
     }
     service.mDemand = demand;
-    service.mWanted = std::clamp(
-      service.mWanted, demand.mLeast, std::max(demand.mLeast, demand.mMost));
+    service.mWanted =
+      std::clamp(service.mWanted,
+                 demand.mMinInstances,
+                 std::max(demand.mMinInstances, demand.mMaxInstances));
   }
   mServices = std::move(services);
 }
 
 void
-FleetPlanner::Take(const OffersEvent& aEvent)
+FleetPlanner::Handle(const OffersEvent& aEvent)
 {
   mOffers = aEvent.mOffers;
 }
 
 void
-FleetPlanner::Take(const ListedEvent& aEvent)
+FleetPlanner::Handle(const ListedEvent& aEvent)
 {
   std::map<InstanceName, InstanceInfo> instances;
   for (const InstanceInfo& info : aEvent.mInstances) {
@@ -65,24 +67,24 @@
         known->second.mState == InstanceState::kLeaving) {
       instance.mState = InstanceState::kLeaving;
     }
-    // The answer to a start was lost, but the instance is there.
+    // The instance is listed, so the response to its start was lost.
     mStarts.erase(info.mStart);
     mUnlisted.erase(info.mName);
   }
   for (const auto& [name, known] : mInstances) {
     if (!instances.contains(name)) {
-      TakeUnlisted(known, instances);
+      HandleUnlisted(known, instances);
     }
   }
   mInstances = std::move(instances);
   mListed = true;
 }
 
-// The list may be older than a start's answer: forgetting the new instance
-// would buy it a second time.
+// The list may be older than the response to a start. Dropping the new instance
+// would start it a second time.
 void
-FleetPlanner::TakeUnlisted(const InstanceInfo& aInstance,
-                           std::map<InstanceName, InstanceInfo>& aListed)
+FleetPlanner::HandleUnlisted(const InstanceInfo& aInstance,
+                             std::map<InstanceName, InstanceInfo>& aListed)
 {
   constexpr Duration kListLag = std::chrono::seconds(30);
   const auto unlisted = mUnlisted.find(aInstance.mName);
@@ -92,18 +94,18 @@
   }
   mUnlisted.erase(aInstance.mName);
   if (aInstance.mState != InstanceState::kLeaving) {
-    mRecord.TakeReclaim(aInstance.mOffer, mNow);
+    mRecord.RecordReclaim(aInstance.mOffer, mNow);
   }
 }
 
 void
-FleetPlanner::Take(const StartedEvent& aEvent)
+FleetPlanner::Handle(const StartedEvent& aEvent)
 {
   const auto start = mStarts.find(aEvent.mStart);
   if (start == mStarts.end()) {
     return;
   }
-  mBackoff.TakeSuccess(start->second.mOffer);
+  mBackoff.RecordSuccess(start->second.mOffer);
   mInstances.try_emplace(aEvent.mInstance,
                          InstanceInfo{ .mName = aEvent.mInstance,
                                        .mStart = aEvent.mStart,
@@ -115,7 +117,7 @@
 }
 
 void
-FleetPlanner::Take(const StartRefusedEvent& aEvent)
+FleetPlanner::Handle(const StartRefusedEvent& aEvent)
 {
   Refuse(aEvent.mStart);
 }
@@ -127,15 +129,16 @@
   if (start == mStarts.end()) {
     return;
   }
-  mBackoff.TakeRefusal(start->second.mOffer, mNow);
-  Decide(start->second.mService,
-         "decision=leave-offer domain=" + start->second.mOffer.mDomain.Value() +
-           " reason=start-refused");
+  mBackoff.RecordRefusal(start->second.mOffer, mNow);
+  EmitDecision(
+    start->second.mService,
+    "decision=leave-offer domain=" + start->second.mOffer.mDomain.Value() +
+      " reason=start-refused");
   mStarts.erase(start);
 }
 
 void
-FleetPlanner::Take(const ServingEvent& aEvent)
+FleetPlanner::Handle(const ServingEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance != mInstances.end() &&
@@ -145,7 +148,7 @@
 }
 
 void
-FleetPlanner::Take(const ReclaimNoticeEvent& aEvent)
+FleetPlanner::Handle(const ReclaimNoticeEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance == mInstances.end() ||
@@ -153,25 +156,25 @@
     return;
   }
   instance->second.mState = InstanceState::kLeaving;
-  mRecord.TakeReclaim(instance->second.mOffer, mNow);
+  mRecord.RecordReclaim(instance->second.mOffer, mNow);
 }
 
 void
-FleetPlanner::Take(const InstanceGoneEvent& aEvent)
+FleetPlanner::Handle(const InstanceGoneEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance == mInstances.end()) {
     return;
   }
-  // Taken without a notice that was heard.
+  // The instance was reclaimed and its notice was lost.
   if (instance->second.mState != InstanceState::kLeaving) {
-    mRecord.TakeReclaim(instance->second.mOffer, mNow);
+    mRecord.RecordReclaim(instance->second.mOffer, mNow);
   }
   mInstances.erase(instance);
 }
 
 void
-FleetPlanner::Take(const DrainedEvent& aEvent)
+FleetPlanner::Handle(const DrainedEvent& aEvent)
 {
   const auto instance = mInstances.find(aEvent.mInstance);
   if (instance != mInstances.end() &&
@@ -180,11 +183,11 @@
   }
 }
 
-// One bad report neither buys nor sells: the service must have been too slow,
-// or far too fast, for a while. The distance between the two keeps it from
-// going back and forth.
+// A single report neither adds nor removes an instance: latency must have been
+// above the target, or below half of it, for a while. The gap between the two
+// thresholds prevents oscillation.
 void
-FleetPlanner::Take(const LatencyEvent& aEvent)
+FleetPlanner::Handle(const LatencyEvent& aEvent)
 {
   const auto found = mServices.find(aEvent.mService);
   if (found == mServices.end()) {
@@ -199,26 +202,29 @@
   const Duration slow = since(service.mSlowSince, aEvent.mFirstToken > target);
   const Duration fast =
     since(service.mFastSince, aEvent.mFirstToken < target / 2);
-  if (slow >= mOptions.mGrowAfter && service.mWanted < service.mDemand.mMost) {
+  if (slow >= mOptions.mGrowAfter &&
+      service.mWanted < service.mDemand.mMaxInstances) {
     ++service.mWanted;
     service.mSlowSince = mNow;
-    Decide(aEvent.mService, "decision=grow reason=latency-target-missed");
+    EmitDecision(aEvent.mService, "decision=grow reason=latency-target-missed");
   }
   if (fast >= mOptions.mShrinkAfter &&
-      service.mWanted > service.mDemand.mLeast) {
+      service.mWanted > service.mDemand.mMinInstances) {
     --service.mWanted;
     service.mFastSince = mNow;
-    Decide(aEvent.mService, "decision=shrink reason=latency-target-exceeded");
+    EmitDecision(aEvent.mService,
+                 "decision=shrink reason=latency-target-exceeded");
   }
 }
 
 void
-FleetPlanner::Take(const FleetTickEvent&)
+FleetPlanner::Handle(const FleetTickEvent&)
 {
   RecordUse();
   ExpireStarts();
-  // Without the cloud's list, instances of an earlier leader would be bought a
-  // second time; before mActAfter that leader may still be buying.
+  // Without the cloud's list, the instances of an earlier leader would be
+  // started a second time. Before mActAfter that leader may still be starting
+  // some.
   if (!mListed || mNow < mOptions.mActAfter) {
     return;
   }
@@ -237,7 +243,7 @@
     std::chrono::duration<double, std::ratio<3600>>(passed).count();
   for (const auto& [name, instance] : mInstances) {
     if (instance.mOffer.mKind == PurchaseKind::kReclaimable) {
-      mRecord.TakeUse(instance.mOffer, hours, mNow);
+      mRecord.RecordHours(instance.mOffer, hours, mNow);
     }
   }
 }
@@ -247,7 +253,7 @@
 {
   std::vector<StartId> late;
   for (const auto& [id, start] : mStarts) {
-    if (mNow - start.mAskedAt >= mOptions.mStartTimeout) {
+    if (mNow - start.mRequestedAt >= mOptions.mStartTimeout) {
       late.push_back(id);
     }
   }
@@ -255,7 +261,7 @@
 }
 
 void
-FleetPlanner::Decide(const ServiceName& aService, std::string aReason)
+FleetPlanner::EmitDecision(const ServiceName& aService, std::string aReason)
 {
   mEffects.emplace_back(DecisionEffect{ aService, std::move(aReason) });
 }
--- /dev/null
+++ b/src/gateway/CallerConnection.h
@@ -0,0 +1,93 @@
+#pragma once
+
+#include "http/BeastTypes.h"
+#include "peridotspool/base/Time.h"
+#include "peridotspool/gateway/CallerLimits.h"
+#include "peridotspool/gateway/RequestHead.h"
+
+#include <memory>
+#include <optional>
+#include <string>
+
+namespace peridotspool::gateway {
+
+class CallerConnection;
+
+/** Receives the events of callers' connections, on the relay thread. */
+class CallerConnectionOwner
+{
+public:
+  virtual ~CallerConnectionOwner() = default;
+  virtual void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
+                         CallerRequest aRequest) = 0;
+  /** The caller disconnected while its request was being served. */
+  virtual void OnDisconnected(CallerConnection& aConnection) = 0;
+  virtual void OnClosed(CallerConnection& aConnection) = 0;
+  /** A request was rejected before it was complete; for logs and counters. */
+  virtual void OnMalformed(unsigned aStatus, const std::string& aReason) = 0;
+  virtual CallerLimits Limits() const = 0;
+  virtual TimePoint Now() const = 0;
+};
+
+/**
+ * One connection from a caller. Reads complete requests one after another and
+ * writes their responses. Rejects ambiguous framing and then closes the
+ * connection.
+ */
+class CallerConnection : public std::enable_shared_from_this<CallerConnection>
+{
+public:
+  CallerConnection(http::Tcp::socket aSocket, CallerConnectionOwner& aOwner);
+
+  void Run();
+  /** Sends a complete response. */
+  void SendResponse(std::string_view aBytes, bool aKeepAlive);
+  /** Sends the head of a chunked response. */
+  void BeginChunked(std::string_view aHead);
+  void SendChunk(std::string_view aBytes);
+  /** Sends the last chunk of a chunked response. */
+  void FinishChunked(bool aKeepAlive);
+  /** Closes the connection. The missing end of a response in progress shows
+   * the caller that it is incomplete. */
+  void Abort();
+
+  /** Returns true iff no request is being read or served. */
+  bool IsIdle() const;
+  std::size_t QueuedBytes() const { return mPending.size() + mWriting.size(); }
+  /** Closes the connection if its idle, header or body time-out has passed. */
+  void Sweep(TimePoint aNow);
+
+private:
+  using Parser =
+    http::beast_http::request_parser<http::beast_http::string_body>;
+
+  void Read();
+  void OnRead(http::ErrorCode aError, std::size_t aBytes);
+  void Parse();
+  void OnParsed();
+  std::string FramingFault() const;
+  void Refuse(unsigned aStatus, const std::string& aReason);
+  void RefuseFor(http::ErrorCode aError);
+  void Write(std::string_view aBytes);
+  void Flush();
+  void OnWritten(http::ErrorCode aError);
+  void FinishResponse(bool aKeepAlive);
+  void Close();
+
+  http::Tcp::socket mSocket;
+  CallerConnectionOwner& mOwner;
+  http::beast::flat_buffer mBuffer;
+  std::optional<Parser> mParser;
+  bool mReading = false;
+  bool mServing = false;
+  bool mHeadChecked = false;
+  bool mClosed = false;
+  bool mClosing = false;
+  /** When the first byte of the current request came, or, without a request,
+   * when the connection became idle. */
+  TimePoint mRequestOrIdleSince;
+  std::string mPending;
+  std::string mWriting;
+};
+
+} // namespace peridotspool::gateway
--- a/src/gateway/Exchange.cpp
+++ b/src/gateway/Exchange.cpp
@@ -13,11 +13,11 @@
 using observe::EventId;
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
-/** Too little time for another upstream to do anything with. */
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(30);
-/** Prompts below this many tokens delay nobody at an engine. */
-constexpr std::uint64_t kSmallPrompt = 3000;
-constexpr double kComeBackSoon = 0.3;
+/** With less time left, another upstream could not do anything useful. */
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
+/** Prompts with fewer tokens do not delay other requests at an engine. */
+constexpr std::uint64_t kSmallPromptTokens = 3000;
+constexpr double kShortRetryAfterSeconds = 0.3;
 
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
@@ -25,7 +25,7 @@
 } // namespace
 
 Exchange::Exchange(GatewayCore& aCore,
-                   std::shared_ptr<CallerLink> aCaller,
+                   std::shared_ptr<CallerConnection> aCaller,
                    CallerRequest aRequest)
   : mCore(aCore)
   , mCaller(std::move(aCaller))
@@ -33,9 +33,9 @@
   , mTable(aCore.mTable)
   , mId(FieldOf(mRequest.mFields, aCore.mNames.mRequestId))
   , mArrivedAt(aCore.mNow())
-  , mTimer(aCore.mIo)
-  , mSlowTimer(aCore.mIo)
-  , mAskTimer(aCore.mIo)
+  , mDeadlineTimer(aCore.mIo)
+  , mWaitTimer(aCore.mIo)
+  , mLoadQueryTimer(aCore.mIo)
 {
 }
 
@@ -45,79 +45,80 @@
   return std::max(Duration(0), mDeadline - mCore.mNow());
 }
 
-AttemptFacts
-Exchange::Facts() const
+AttemptState
+Exchange::CurrentState() const
 {
-  return AttemptFacts{ .mKind = mRoute->mKind,
+  return AttemptState{ .mKind = mRoute->mKind,
                        .mResumable = mRoute->mResumable,
                        .mRuns = mRuns,
                        .mMaxAttempts = mRoute->mMaxAttempts,
                        .mRefusals = mRefusals,
                        .mBegun = mBegun,
-                       .mTimeLeft = TimeLeft() > kLeastTimeLeft };
+                       .mTimeLeft = TimeLeft() > kMinTimeLeft };
 }
 
 void
 Exchange::Dispatch()
 {
   const bool isFirst = mRuns == 0 && mRefusals == 0;
-  const bool knows = mCore.mStartPlan.KnowsEnough(mCore.mNow()) &&
-                     mCore.mGate.Knows() && mCore.mRollouts.Knows();
-  if (isFirst && !knows && WaitForStart()) {
+  const bool knows = mCore.mStartupPolicy.HasEnoughUpdates(mCore.mNow()) &&
+                     mCore.mQuarantineGate.HasTable() &&
+                     mCore.mRollouts.HasUpdate();
+  if (isFirst && !knows && WaitForStartup()) {
     return;
   }
-  if (PassGate()) {
-    GoOnFromGate();
+  if (RequestPermit()) {
+    ResumeAfterGate();
   }
 }
 
 void
-Exchange::Place()
+Exchange::ChooseAndSend()
 {
   const TimePoint now = mCore.mNow();
-  const auto choice = mCore.mBoard.Choose(mQuestion, now);
+  const auto choice = mCore.mSelector.Choose(mSelectionQuery, now);
   if (choice) {
-    const auto comeBack = RefusesLate(*choice);
-    if (!comeBack) {
+    const auto retryAfter = LoadSheddingRetryAfter(*choice);
+    if (!retryAfter) {
       SendTo(*choice);
-    } else if (mQuestion.mLooksFurther) {
-      RefuseLate(*choice, *comeBack);
+    } else if (mSelectionQuery.mUseLongShortlist) {
+      RefuseAsLate(*choice, *retryAfter);
     } else {
-      mQuestion.mLooksFurther = true;
+      mSelectionQuery.mUseLongShortlist = true;
       Dispatch();
     }
     return;
   }
-  if (mRuns == 0 && mRefusals == 0 && WaitForStart()) {
+  if (mRuns == 0 && mRefusals == 0 && WaitForStartup()) {
     return;
   }
   if (mBegun) {
-    BreakOff("no upstream left");
+    AbortResponse("no upstream left");
   } else if (mRuns > 0) {
-    AnswerOwn(kBadGateway, "no upstream left");
+    SendLocalResponse(kBadGateway, "no upstream left");
   } else {
     mCore.mCounters.Add(CounterId::kRefusedNoUpstream);
-    AnswerOwn(kUnavailable, "no upstream", kComeBackSoon);
+    SendLocalResponse(kUnavailable, "no upstream", kShortRetryAfterSeconds);
   }
 }
 
 void
-Exchange::NoteChosen(const UpstreamChoice& aChoice)
+Exchange::RecordChoice(const UpstreamChoice& aChoice)
 {
   mUpstream = aChoice.mName;
   mUpstreamAddress = aChoice.mAddress;
   if (mRuns == 0 && mRefusals == 0) {
-    mCore.mRollouts.NoteSent(mService);
+    mCore.mRollouts.RecordSent(mService);
   }
   mVersion = aChoice.mVersion;
-  mPieces = 0;
-  if (mCore.mRollouts.IsTrying(mService, mVersion)) {
+  mEventBatches = 0;
+  if (mCore.mRollouts.IsRollingOut(mService, mVersion)) {
     mCore.mCounters.Add(CounterId::kNewVersionSent);
   }
-  mQuestion.mTried.insert(mUpstream);
-  mHead = UpstreamHead{};
+  mSelectionQuery.mTried.insert(mUpstream);
+  mHead = ResponseHead{};
   mBody.clear();
-  mEvents.DropRest();
+  mEvents.DropIncomplete();
 }
 
 void
@@ -137,50 +138,50 @@
       { "rank", aChoice.mRank },
       { "candidates", aChoice.mCandidates },
       { "wait_ms", aChoice.mWait },
-      { "reads", aChoice.mReads },
-      { "read_ms", mSent.mReading },
-      { "copies", aChoice.mNeighbour.has_value() },
+      { "reads", aChoice.mPrefillTokens },
+      { "read_ms", mSent.mPrefillTime },
+      { "copies", aChoice.mPrefixSource.has_value() },
       { "load_age_ms",
         aChoice.mReportAge ? *aChoice.mReportAge : Duration(-1000) },
-      { "ask_ms", mAskTook },
-      { "heard", aChoice.mHeard },
+      { "ask_ms", mLoadQueryTook },
+      { "heard", aChoice.mLoadKnown },
       { "runs", mRuns },
       { "refusals", mRefusals },
       { "prefix",
         std::string(FieldOf(mRequest.mFields, mCore.mNames.mPrefix)) },
-      { "in_domain", aChoice.mNear } });
+      { "in_domain", aChoice.mInOwnDomain } });
 }
 
 void
 Exchange::SendTo(const UpstreamChoice& aChoice)
 {
   const TimePoint now = mCore.mNow();
-  NoteChosen(aChoice);
-  mSent = mCore.mBoard.Sent(aChoice, now);
-  TellSent(aChoice);
+  RecordChoice(aChoice);
+  mSent = mCore.mSelector.RecordSent(aChoice, now);
+  ReportSent(aChoice);
   LogSent(aChoice);
-  std::string bytes = WriteForward(
+  std::string bytes = WriteUpstreamRequest(
     mRequest,
     mCore.mNames,
-    ForwardTerms{
+    UpstreamRequestFields{
       .mCustomer = mCustomer == nullptr ? "" : mCustomer->mName.Value(),
       .mUpstream = mUpstream.Value(),
       .mDeadlineMs =
         std::chrono::duration_cast<std::chrono::milliseconds>(TimeLeft())
           .count(),
       .mPriority = EnginePriority(),
-      .mFetchFrom = aChoice.mNeighbour,
+      .mFetchFrom = aChoice.mPrefixSource,
       .mLastEvent = mEvents.LastId() });
-  mLink = mCore.mPool.Take(mUpstream, now);
-  if (mLink) {
-    mLink->Send(std::move(bytes), this);
+  mConnection = mCore.mPool.Acquire(mUpstream, now);
+  if (mConnection) {
+    mConnection->Send(std::move(bytes), this);
     return;
   }
-  mLink = std::make_shared<UpstreamLink>(mCore.mIo, mUpstream);
-  mLink->Open(aChoice.mAddress,
-              std::min(kConnectTimeout, TimeLeft()),
-              std::move(bytes),
-              this);
+  mConnection = std::make_shared<UpstreamConnection>(mCore.mIo, mUpstream);
+  mConnection->Open(aChoice.mAddress,
+                    std::min(kConnectTimeout, TimeLeft()),
+                    std::move(bytes),
+                    this);
 }
 
 std::optional<unsigned>
@@ -190,12 +191,12 @@
     return std::nullopt;
   }
   const auto counts =
-    ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
-  return counts && counts->mPrompt < kSmallPrompt ? 1U : 5U;
+    ParseTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
+  return counts && counts->mPrompt < kSmallPromptTokens ? 1U : 5U;
 }
 
 void
-Exchange::EndSend(SendResult aResult)
+Exchange::EndAttempt(SendResult aResult)
 {
   const TimePoint now = mCore.mNow();
   if (TellEnded(aResult)) {
@@ -205,9 +206,9 @@
                         { "request", mId },
                         { "result", static_cast<int>(aResult) } });
   }
-  if (mLink) {
-    const auto link = std::exchange(mLink, nullptr);
-    mCore.mPool.Keep(link, now);
+  if (mConnection) {
+    const auto connection = std::exchange(mConnection, nullptr);
+    mCore.mPool.Release(connection, now);
   }
 }
 
--- a/src/gateway/Exchange.h
+++ b/src/gateway/Exchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "gateway/CallerLink.h"
+#include "gateway/CallerConnection.h"
 #include "gateway/EventSplitter.h"
 #include "gateway/GatewayCore.h"
-#include "gateway/UpstreamLink.h"
+#include "gateway/UpstreamConnection.h"
 #include "peridotspool/gateway/AttemptPolicy.h"
 #include "peridotspool/gateway/HeaderRules.h"
 
@@ -15,9 +15,10 @@
 namespace peridotspool::gateway {
 
 /**
- * The life of one caller's request: its route, the upstreams that it is sent
- * to, and its one answer. Decisions are AttemptPolicy's and UpstreamBoard's;
- * this carries them out on the two connections.
+ * Serves one caller's request: finds its route, sends it to one or more
+ * upstreams and relays exactly one response. AttemptPolicy and UpstreamSelector
+ * decide; this class applies their decisions to the caller's and the
+ * upstream's connection.
  */
 class Exchange
   : public UpstreamListener
@@ -25,79 +26,84 @@
 {
 public:
   Exchange(GatewayCore& aCore,
-           std::shared_ptr<CallerLink> aCaller,
+           std::shared_ptr<CallerConnection> aCaller,
            CallerRequest aRequest);
 
-  /** Called once when the exchange is over. */
-  void OnOver(std::function<void()> aCall) { mOnOver = std::move(aCall); }
+  /** Sets a function that is called once when the exchange has ended. */
+  void SetOnEnded(std::function<void()> aCall) { mOnEnded = std::move(aCall); }
   void Start();
-  /** The caller left. */
+  /** Called when the caller has disconnected. */
   void Cancel();
 
-  bool OnHead(UpstreamHead aHead) override;
+  bool OnHead(ResponseHead aHead) override;
   void OnBody(std::string aBytes) override;
   void OnEnd() override;
-  void OnBroken(const LinkFailure& aFailure) override;
+  void OnConnectionFailed(const ConnectionFailure& aFailure) override;
 
 private:
-  bool WaitForStart();
-  void GoOn();
+  bool WaitForStartup();
+  void ResumeAfterStartup();
   bool Admit();
-  bool OutlivesProcess() const;
-  void AskQuota();
-  void OnQuota(const QuotaDecided& aDecided);
-  void TakeGranted(const QuotaReceipt& aReceipt);
-  void GiveBack(const QuotaReceipt& aReceipt);
-  void RefuseForQuota(Duration aComeBack, QuotaSource aDecidedBy);
+  bool MayOutliveProcess() const;
+  void RequestQuota();
+  void OnQuotaResponse(const DeferredQuotaDecision& aDecided);
+  void OnQuotaGranted(const QuotaReceipt& aReceipt);
+  void ReturnQuota(const QuotaReceipt& aReceipt);
+  void RefuseForQuota(Duration aRetryAfter, QuotaSource aDecidedBy);
   double Units() const;
   void CountUsage();
   void ChooseService();
   Duration TimeLeft() const;
-  AttemptFacts Facts() const;
+  AttemptState CurrentState() const;
   void Dispatch();
   void ChooseVersion();
-  rollout::VersionAnswer VersionAnswerOf(bool aFailed) const;
-  void NoteVersion(bool aFailed);
-  void NoteOverlong();
-  bool AskKeepers();
-  void GoOnAsked();
-  void StopAsking();
-  void Place();
-  std::optional<Duration> RefusesLate(const UpstreamChoice& aChoice) const;
-  void RefuseLate(const UpstreamChoice& aChoice, Duration aComeBack);
+  rollout::VersionAnswer MakeVersionAnswer(bool aFailed) const;
+  void RecordVersionAnswer(bool aFailed);
+  void RecordOverdueAnswer();
+  bool QueryLoad();
+  void OnLoadQueryDone();
+  void CancelLoadQuery();
+  void ChooseAndSend();
+  std::optional<Duration> LoadSheddingRetryAfter(
+    const UpstreamChoice& aChoice) const;
+  void RefuseAsLate(const UpstreamChoice& aChoice, Duration aRetryAfter);
   void SendTo(const UpstreamChoice& aChoice);
-  void NoteChosen(const UpstreamChoice& aChoice);
+  void RecordChoice(const UpstreamChoice& aChoice);
   void LogSent(const UpstreamChoice& aChoice);
-  void TellSent(const UpstreamChoice& aChoice);
-  std::uint64_t EngineMemory() const;
-  void TellBegun();
+  void ReportSent(const UpstreamChoice& aChoice);
+  std::uint64_t EngineCacheTokens() const;
+  void ReportPrefillDone();
   bool TellEnded(SendResult aResult);
-  void TakeLoad();
-  bool SaysNotRun() const;
+  void RecordLoad();
+  bool IsNotRun() const;
   std::optional<unsigned> EnginePriority() const;
-  void EndSend(SendResult aResult);
-  void TryAnother(observe::CounterId aRetry);
-  void Follow(NextStep aStep, const char* aReason, observe::CounterId aRetry);
-  void WaitForCaller();
+  void EndAttempt(SendResult aResult);
+  void RetryElsewhere(observe::CounterId aRetry);
+  void ApplyNextStep(NextStep aStep,
+                     const char* aReason,
+                     observe::CounterId aRetry);
+  void ApplyBackpressure();
   void RelayEvents(std::string_view aEvents);
-  void WitnessBreak(const LinkFailure& aFailure);
-  bool PassGate();
-  void OnGate(std::uint64_t aTag, routing::GateOutcome aOutcome);
-  void GoOnFromGate();
-  void RefuseAtGate(routing::GateOutcome aOutcome);
-  void LeaveGate();
-  void NoteAnswered();
-  void LogTurn(const char* aOutcome);
-  void FinishWhole();
+  void RecordConnectionLoss(const ConnectionFailure& aFailure);
+  bool RequestPermit();
+  void OnGateOutcome(std::uint64_t aTag, routing::GateOutcome aOutcome);
+  void ResumeAfterGate();
+  void RefuseQuarantined(routing::GateOutcome aOutcome);
+  void LeaveQuarantineGate();
+  void RecordAnswered();
+  void LogPermit(const char* aOutcome);
+  void FinishBuffered();
   void FinishStream();
   void OnTimeout();
-  void AnswerOwn(unsigned aStatus, const char* aReason, double aRetryAfter = 0);
-  void BreakOff(const char* aReason);
+  void SendLocalResponse(unsigned aStatus,
+                         const char* aReason,
+                         double aRetryAfter = 0);
+  void AbortResponse(const char* aReason);
   void End(unsigned aStatus, const char* aReason);
   bool KeepAlive() const;
 
   GatewayCore& mCore;
-  std::shared_ptr<CallerLink> mCaller;
+  std::shared_ptr<CallerConnection> mCaller;
   CallerRequest mRequest;
   std::shared_ptr<const RouteTable> mTable;
   const Route* mRoute = nullptr;
@@ -107,52 +113,53 @@
   ContentId mContent;
   TimePoint mArrivedAt;
   TimePoint mDeadline;
-  http::net::steady_timer mTimer;
-  http::net::steady_timer mSlowTimer;
-  http::net::steady_timer mAskTimer;
-  ChooseQuestion mQuestion;
+  http::net::steady_timer mDeadlineTimer;
+  http::net::steady_timer mWaitTimer;
+  http::net::steady_timer mLoadQueryTimer;
+  SelectionQuery mSelectionQuery;
 
-  std::shared_ptr<UpstreamLink> mLink;
+  std::shared_ptr<UpstreamConnection> mConnection;
   UpstreamName mUpstream;
   Address mUpstreamAddress;
   VersionName mVersion;
-  /** Why it goes to upstreams of these versions, for the log. */
+  /** Why these versions of the service were chosen; for the log. */
   const char* mVersionReason = "";
-  /** Pieces of its stream from the present upstream. */
-  std::uint64_t mPieces = 0;
-  TimePoint mFirstPieceAt;
+  /** Number of batches of events that the current upstream has sent. */
+  std::uint64_t mEventBatches = 0;
+  TimePoint mFirstBatchAt;
   SentRequest mSent;
   std::uint64_t mQuotaTag = 0;
-  /** The gate's tag that it waits under; 0 for none. */
+  /** Tag of the pending request for a permit; 0 for none. */
   std::uint64_t mGateTag = 0;
-  /** The turn of its content, until its run has ended; 0 for none. */
-  std::uint64_t mTurn = 0;
-  TimePoint mAtGateSince;
-  /** The inquiry that it waits for; 0 for none. */
-  std::uint64_t mAskTag = 0;
-  TimePoint mAskedAt;
-  Duration mAskTook{ 0 };
-  /** Who keeps account of the send under way. */
-  std::optional<Address> mKeeper;
-  std::uint64_t mLoadSend = 0;
-  /** It counts against its customer's limit. */
-  bool mGranted = false;
+  /** Permit to run a quarantined content, held until the run ends; 0 for none.
+   */
+  std::uint64_t mPermit = 0;
+  TimePoint mGateWaitStart;
+  /** Tag of the pending load query; 0 for none. */
+  std::uint64_t mLoadQueryTag = 0;
+  TimePoint mLoadQueriedAt;
+  Duration mLoadQueryTook{ 0 };
+  /** The load coordinator of the upstream that runs the request. */
+  std::optional<Address> mCoordinator;
+  std::uint64_t mLoadSendId = 0;
+  /** The request has been counted against its customer's limit. */
+  bool mQuotaGranted = false;
   QuotaReceipt mReceipt;
-  bool mCounted = false;
+  bool mUsageCounted = false;
   std::uint32_t mRuns = 0;
   std::uint32_t mRefusals = 0;
-  UpstreamHead mHead;
+  ResponseHead mHead;
   std::string mBody;
   EventSplitter mEvents;
-  bool mWaitsForStart = false;
+  bool mWaitingForStartup = false;
   bool mIsStream = false;
-  /** The head of the answer is on its way to the caller. */
+  /** The head of the response has been sent to the caller. */
   bool mBegun = false;
   TimePoint mFirstEventAt;
   TimePoint mLastEventAt;
-  Duration mWorstGap{ 0 };
-  bool mOver = false;
-  std::function<void()> mOnOver;
+  Duration mMaxGap{ 0 };
+  bool mEnded = false;
+  std::function<void()> mOnEnded;
 };
 
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeEnd.cpp
+++ b/src/gateway/ExchangeEnd.cpp
@@ -1,4 +1,4 @@
-// How a request ends, or goes on at another upstream.
+// End of a request, or its retry at another upstream.
 
 #include "gateway/Exchange.h"
 
@@ -14,7 +14,7 @@
 using observe::CounterId;
 using observe::EventId;
 
-constexpr double kComeBackSoon = 0.3;
+constexpr double kShortRetryAfterSeconds = 0.3;
 constexpr unsigned kFirstRefusal = 300;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kUnavailable = 503;
@@ -23,40 +23,41 @@
 } // namespace
 
 void
-Exchange::TryAnother(CounterId aRetry)
+Exchange::RetryElsewhere(CounterId aRetry)
 {
-  // What never reached an upstream is no repeat for it.
+  // A send that never reached an upstream is not charged to the retry budget.
   const bool free = mRuns == 0 && aRetry == CounterId::kRetryConnectionBroken;
-  if (free || mCore.mBudget.TakeRepeat(mService, mCore.mNow())) {
+  if (free || mCore.mRetryBudget.TryAcquireRetry(mService, mCore.mNow())) {
     mCore.mCounters.Add(aRetry);
     Dispatch();
   } else if (mBegun) {
-    BreakOff("repeats are spent");
+    AbortResponse("repeats are spent");
   } else if (mRuns > 0) {
-    AnswerOwn(kBadGateway, "repeats are spent");
+    SendLocalResponse(kBadGateway, "repeats are spent");
   } else {
     mCore.mCounters.Add(CounterId::kRefusedRetryBudget);
-    AnswerOwn(kUnavailable, "repeats are spent", kComeBackSoon);
+    SendLocalResponse(
+      kUnavailable, "repeats are spent", kShortRetryAfterSeconds);
   }
 }
 
 void
-Exchange::Follow(NextStep aStep, const char* aReason, CounterId aRetry)
+Exchange::ApplyNextStep(NextStep aStep, const char* aReason, CounterId aRetry)
 {
   switch (aStep) {
-    case NextStep::kTryAnother:
-      TryAnother(aRetry);
+    case NextStep::kRetryElsewhere:
+      RetryElsewhere(aRetry);
       return;
     case NextStep::kRefuse:
       mCore.mCounters.Add(CounterId::kRefusedRetriesSpent);
-      AnswerOwn(kUnavailable, aReason, kComeBackSoon);
+      SendLocalResponse(kUnavailable, aReason, kShortRetryAfterSeconds);
       return;
     case NextStep::kFail:
-    case NextStep::kPassOn:
-      AnswerOwn(kBadGateway, aReason);
+    case NextStep::kForward:
+      SendLocalResponse(kBadGateway, aReason);
       return;
-    case NextStep::kBreakOff:
-      BreakOff(aReason);
+    case NextStep::kAbort:
+      AbortResponse(aReason);
       return;
   }
 }
@@ -64,33 +65,33 @@
 void
 Exchange::OnTimeout()
 {
-  if (mLink) {
-    NoteOverlong();
-    mLink->Drop();
-    mLink.reset();
+  if (mConnection) {
+    RecordOverdueAnswer();
+    mConnection->Drop();
+    mConnection.reset();
     ++mRuns;
     TellEnded(SendResult::kFailed);
   }
   if (mBegun) {
-    BreakOff("out of time");
+    AbortResponse("out of time");
   } else if (mRuns > 0) {
-    AnswerOwn(kGatewayTimeout, "out of time");
+    SendLocalResponse(kGatewayTimeout, "out of time");
   } else {
     mCore.mCounters.Add(CounterId::kRefusedDeadline);
-    AnswerOwn(kUnavailable, "out of time", kComeBackSoon);
+    SendLocalResponse(kUnavailable, "out of time", kShortRetryAfterSeconds);
   }
 }
 
 void
 Exchange::Cancel()
 {
-  if (mOver) {
+  if (mEnded) {
     return;
   }
-  if (mLink) {
-    NoteOverlong();
-    mLink->Drop();
-    mLink.reset();
+  if (mConnection) {
+    RecordOverdueAnswer();
+    mConnection->Drop();
+    mConnection.reset();
     TellEnded(SendResult::kAnswered);
   }
   mCore.mCounters.Add(CounterId::kCancelled);
@@ -104,10 +105,12 @@
 }
 
 void
-Exchange::AnswerOwn(unsigned aStatus, const char* aReason, double aRetryAfter)
+Exchange::SendLocalResponse(unsigned aStatus,
+                            const char* aReason,
+                            double aRetryAfter)
 {
-  mCaller->Answer(
-    WriteOwnAnswer(
+  mCaller->SendResponse(
+    WriteLocalResponse(
       { .mStatus = aStatus, .mReason = aReason, .mRetryAfter = aRetryAfter },
       mCore.mNames.mRequestId,
       mId,
@@ -118,7 +121,7 @@
 }
 
 void
-Exchange::BreakOff(const char* aReason)
+Exchange::AbortResponse(const char* aReason)
 {
   mCaller->Abort();
   mCore.mCounters.Add(CounterId::kUnknownOutcome);
@@ -129,19 +132,19 @@
 Exchange::End(unsigned aStatus, const char* aReason)
 {
   if (mQuotaTag != 0) {
-    mCore.mQuota.Forget(mQuotaTag);
-    mCore.mWaiting.erase(mQuotaTag);
+    mCore.mQuota.Cancel(mQuotaTag);
+    mCore.mQuotaWaiters.erase(mQuotaTag);
     mQuotaTag = 0;
   }
-  if (mGranted && mRuns == 0) {
-    GiveBack(mReceipt);
+  if (mQuotaGranted && mRuns == 0) {
+    ReturnQuota(mReceipt);
   }
-  LeaveGate();
-  mOver = true;
-  mWaitsForStart = false;
-  mTimer.cancel();
-  mSlowTimer.cancel();
-  StopAsking();
+  LeaveQuarantineGate();
+  mEnded = true;
+  mWaitingForStartup = false;
+  mDeadlineTimer.cancel();
+  mWaitTimer.cancel();
+  CancelLoadQuery();
   const Duration took = mCore.mNow() - mArrivedAt;
   if (aStatus >= 200 && aStatus < kFirstRefusal) {
     mCore.mCounters.Add(CounterId::kAnswered);
@@ -163,9 +166,9 @@
       { "begun", mBegun },
       { "first_ms",
         mBegun ? Duration(mFirstEventAt - mArrivedAt) : Duration(0) },
-      { "worst_gap_ms", mWorstGap },
+      { "worst_gap_ms", mMaxGap },
       { "took_ms", took } });
-  if (auto call = std::exchange(mOnOver, {})) {
+  if (auto call = std::exchange(mOnEnded, {})) {
     call();
   }
 }
--- a/src/gateway/ExchangeQuota.cpp
+++ b/src/gateway/ExchangeQuota.cpp
@@ -1,4 +1,4 @@
-// What a request counts against its customer's limit.
+// Accounting of a request against its customer's limit.
 
 #include "gateway/Exchange.h"
 #include "peridotspool/gateway/TokenCounts.h"
@@ -16,11 +16,12 @@
 using observe::EventId;
 
 constexpr unsigned kTooMany = 429;
-constexpr double kLeastComeBack = 0.2;
+constexpr double kMinRetryAfterSeconds = 0.2;
 
 } // namespace
 
-// A request counts by the sum of its prompt and the most that it may generate.
+// Where tokens are limited, a request counts its prompt tokens plus the maximum
+// of tokens that it may generate.
 double
 Exchange::Units() const
 {
@@ -28,65 +29,65 @@
     return 1.0;
   }
   const auto counts =
-    ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
-  return counts ? static_cast<double>(counts->mPrompt + counts->mAnswer)
-                : mCustomer->mPlainTokens;
+    ParseTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
+  return counts ? static_cast<double>(counts->mPrompt + counts->mMaxOutput)
+                : mCustomer->mDefaultTokens;
 }
 
 void
-Exchange::AskQuota()
+Exchange::RequestQuota()
 {
   if (mCustomer == nullptr) {
     Dispatch();
     return;
   }
-  const QuotaAnswer answer =
-    mCore.mQuota.Take(*mCustomer, Units(), mCore.mNow());
+  const QuotaDecision answer =
+    mCore.mQuota.Acquire(*mCustomer, Units(), mCore.mNow());
   switch (answer.mOutcome) {
     case QuotaOutcome::kGranted:
-      TakeGranted(answer.mReceipt);
+      OnQuotaGranted(answer.mReceipt);
       return;
     case QuotaOutcome::kRefused:
-      RefuseForQuota(answer.mComeBack, QuotaSource::kOwnPart);
+      RefuseForQuota(answer.mRetryAfter, QuotaSource::kOwnPart);
       return;
-    case QuotaOutcome::kAsked:
+    case QuotaOutcome::kPending:
       mQuotaTag = answer.mTag;
-      mCore.mWaiting[mQuotaTag] =
-        [self = shared_from_this()](const QuotaDecided& aDecided) {
-          self->OnQuota(aDecided);
+      mCore.mQuotaWaiters[mQuotaTag] =
+        [self = shared_from_this()](const DeferredQuotaDecision& aDecided) {
+          self->OnQuotaResponse(aDecided);
         };
-      mCore.mTellLeader(answer.mAsk);
+      mCore.mSendToLeader(answer.mRequest);
       return;
   }
 }
 
 void
-Exchange::OnQuota(const QuotaDecided& aDecided)
+Exchange::OnQuotaResponse(const DeferredQuotaDecision& aDecided)
 {
   mQuotaTag = 0;
-  if (mOver) {
+  if (mEnded) {
     if (aDecided.mGranted) {
-      GiveBack(aDecided.mReceipt);
+      ReturnQuota(aDecided.mReceipt);
     }
   } else if (aDecided.mGranted) {
-    TakeGranted(aDecided.mReceipt);
+    OnQuotaGranted(aDecided.mReceipt);
   } else {
-    RefuseForQuota(aDecided.mComeBack, aDecided.mReceipt.mSource);
+    RefuseForQuota(aDecided.mRetryAfter, aDecided.mReceipt.mSource);
   }
 }
 
 void
-Exchange::GiveBack(const QuotaReceipt& aReceipt)
+Exchange::ReturnQuota(const QuotaReceipt& aReceipt)
 {
   if (mCustomer != nullptr) {
-    mCore.mQuota.GiveBack(*mCustomer, Units(), aReceipt, mCore.mNow());
+    mCore.mQuota.ReturnUnits(*mCustomer, Units(), aReceipt, mCore.mNow());
   }
 }
 
 void
-Exchange::TakeGranted(const QuotaReceipt& aReceipt)
+Exchange::OnQuotaGranted(const QuotaReceipt& aReceipt)
 {
-  mGranted = true;
+  mQuotaGranted = true;
   mReceipt = aReceipt;
   const auto units = static_cast<std::uint64_t>(Units());
   switch (aReceipt.mSource) {
@@ -106,7 +107,7 @@
 }
 
 void
-Exchange::RefuseForQuota(Duration aComeBack, QuotaSource aDecidedBy)
+Exchange::RefuseForQuota(Duration aRetryAfter, QuotaSource aDecidedBy)
 {
   mCore.mCounters.Add(CounterId::kRefusedRateLimit);
   mCore.mLogger.Log(
@@ -120,19 +121,20 @@
       { "settings", mTable->Version() },
       { "decided_by", boost::describe::enum_to_string(aDecidedBy, "") },
       { "asked_ms", mCore.mNow() - mArrivedAt },
-      { "come_back_ms", aComeBack } });
-  AnswerOwn(
+      { "come_back_ms", aRetryAfter } });
+  SendLocalResponse(
     kTooMany,
     "over the customer's limit",
-    std::max(kLeastComeBack, std::chrono::duration<double>(aComeBack).count()));
+    std::max(kMinRetryAfterSeconds,
+             std::chrono::duration<double>(aRetryAfter).count()));
 }
 
 void
 Exchange::CountUsage()
 {
-  if (mCustomer != nullptr && !mCounted) {
-    mCounted = true;
-    mCore.mUsage.Count(mCustomer->mName, mCore.mWall(), mCore.mNow());
+  if (mCustomer != nullptr && !mUsageCounted) {
+    mUsageCounted = true;
+    mCore.mUsage.Count(mCustomer->mName, mCore.mWallClock(), mCore.mNow());
   }
 }
 
--- /dev/null
+++ b/src/gateway/ExchangeResponse.cpp
@@ -0,0 +1,279 @@
+// Handling of an upstream's response and its relay to the caller.
+
+#include "gateway/Exchange.h"
+#include "gateway/IncarnationProbe.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace peridotspool::gateway {
+
+namespace {
+
+using observe::CounterId;
+using observe::EventId;
+
+/** A buffered response larger than this fails the request. */
+constexpr std::size_t kMaxHeldBytes = 8U << 20;
+constexpr Duration kSlowCallerCheckPeriod = std::chrono::milliseconds(5);
+/** Bytes that may be queued for a slow caller before reading from its upstream
+ * is paused. */
+constexpr std::size_t kMaxQueuedBytes = 256U << 10;
+
+constexpr unsigned kMisdirected = 421;
+constexpr unsigned kFirstServerError = 500;
+
+bool
+IsSuccess(unsigned aStatus)
+{
+  return aStatus >= 200 && aStatus < 300;
+}
+
+} // namespace
+
+void
+Exchange::RecordLoad()
+{
+  const std::string_view load = FieldOf(mHead.mFields, mCore.mNames.mLoad);
+  const std::size_t first = load.find(',');
+  const std::size_t second = load.find(',', first + 1);
+  if (first == std::string_view::npos || second == std::string_view::npos) {
+    return;
+  }
+  const auto running = ReadNumber(load.substr(0, first));
+  const auto waiting = ReadNumber(load.substr(first + 1, second - first - 1));
+  if (running && waiting) {
+    mCore.mSelector.ApplyLoadReport(mSent,
+                                    static_cast<std::uint32_t>(*running),
+                                    static_cast<std::uint32_t>(*waiting),
+                                    mCore.mNow());
+  }
+}
+
+bool
+Exchange::IsNotRun() const
+{
+  return mHead.mStatus == kMisdirected ||
+         !FieldOf(mHead.mFields, mCore.mNames.mNotRun).empty();
+}
+
+// Upstreams echo the request's id, which identifies a late response on a
+// connection that already carries the next request. Without this check one
+// caller would get another caller's response.
+bool
+Exchange::OnHead(ResponseHead aHead)
+{
+  const std::string_view echoed =
+    FieldOf(aHead.mFields, mCore.mNames.mRequestId);
+  if (echoed != mId && !(echoed.empty() && mId.empty())) {
+    mCore.mCounters.Add(CounterId::kCrossedPieceDropped);
+    mCore.mLogger.Log(EventId::kCrossedPieceDropped,
+                      { { "request", mId },
+                        { "upstream", mUpstream },
+                        { "answer_of", std::string(echoed) } });
+    return false;
+  }
+  mHead = std::move(aHead);
+  RecordLoad();
+  mIsStream = mRoute->mKind == RequestKind::kStreaming &&
+              IsSuccess(mHead.mStatus) &&
+              !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
+  return true;
+}
+
+void
+Exchange::OnBody(std::string aBytes)
+{
+  if (!mIsStream) {
+    mBody += aBytes;
+    if (mBody.size() > kMaxHeldBytes) {
+      mConnection->Drop();
+      ++mRuns;
+      EndAttempt(SendResult::kAnswered);
+      ApplyNextStep(NextStep::kFail,
+                    "the answer is over its bound",
+                    CounterId::kRefusedBound);
+    }
+    return;
+  }
+  RelayEvents(mEvents.Append(aBytes));
+}
+
+void
+Exchange::RelayEvents(std::string_view aEvents)
+{
+  if (aEvents.empty()) {
+    return;
+  }
+  const TimePoint now = mCore.mNow();
+  ReportPrefillDone();
+  if (!mBegun) {
+    mBegun = true;
+    mFirstEventAt = now;
+    CountUsage();
+    mCore.mCounters.Histogram(observe::HistogramId::kFirstTokenTime)
+      .Observe(now - mArrivedAt);
+    mCaller->BeginChunked(WriteResponseHead(mHead, std::nullopt, KeepAlive()));
+  } else {
+    mCore.mCounters.Histogram(observe::HistogramId::kTokenGap)
+      .Observe(now - mLastEventAt);
+    mMaxGap = std::max(mMaxGap, Duration(now - mLastEventAt));
+  }
+  mLastEventAt = now;
+  if (mEventBatches++ == 0) {
+    mFirstBatchAt = now;
+  }
+  mCaller->SendChunk(aEvents);
+  ApplyBackpressure();
+}
+
+// A caller that reads slowly must not fill this instance's memory. Reading from
+// its upstream is paused, which delays no other request.
+void
+Exchange::ApplyBackpressure()
+{
+  if (mEnded || !mConnection) {
+    return;
+  }
+  if (mCaller->QueuedBytes() <= kMaxQueuedBytes) {
+    mConnection->Resume();
+    return;
+  }
+  mConnection->Pause();
+  mWaitTimer.expires_after(kSlowCallerCheckPeriod);
+  mWaitTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
+    if (!aError) {
+      self->ApplyBackpressure();
+    }
+  });
+}
+
+void
+Exchange::OnEnd()
+{
+  if (IsNotRun()) {
+    ++mRefusals;
+    EndAttempt(mHead.mStatus == kMisdirected ? SendResult::kWrongUpstream
+                                             : SendResult::kFull);
+    ApplyNextStep(AfterNotExecuted(CurrentState()),
+                  "upstreams refused",
+                  CounterId::kRetryUpstreamRefused);
+    return;
+  }
+  ++mRuns;
+  if (mIsStream) {
+    FinishStream();
+    return;
+  }
+  FinishBuffered();
+}
+
+void
+Exchange::FinishStream()
+{
+  RecordVersionAnswer(false);
+  EndAttempt(SendResult::kAnswered);
+  RecordAnswered();
+  if (!mBegun) {
+    mCaller->BeginChunked(WriteResponseHead(mHead, std::nullopt, KeepAlive()));
+  }
+  if (!mEvents.Incomplete().empty()) {
+    mCaller->SendChunk(mEvents.Incomplete());
+  }
+  mCaller->FinishChunked(KeepAlive());
+  End(mHead.mStatus, "whole");
+}
+
+void
+Exchange::FinishBuffered()
+{
+  const bool stamped = !FieldOf(mHead.mFields, mCore.mNames.mStamp).empty();
+  if (IsSuccess(mHead.mStatus) && !stamped) {
+    EndAttempt(SendResult::kFailed);
+    ApplyNextStep(AfterLostResponse(CurrentState()),
+                  "an answer without proof",
+                  CounterId::kRetryCrossedAnswer);
+    return;
+  }
+  if (stamped) {
+    CountUsage();
+  }
+  RecordAnswered();
+  const bool failed = mHead.mStatus >= kFirstServerError;
+  RecordVersionAnswer(failed);
+  EndAttempt(failed ? SendResult::kFailed : SendResult::kAnswered);
+  if (failed &&
+      AfterUpstreamError(CurrentState()) == NextStep::kRetryElsewhere &&
+      mCore.mRetryBudget.TryAcquireRetry(mService, mCore.mNow())) {
+    mCore.mCounters.Add(mCore.mRollouts.IsRollingOut(mService, mVersion)
+                          ? CounterId::kRetryNewVersion
+                          : CounterId::kRetryUpstreamRefused);
+    Dispatch();
+    return;
+  }
+  if (mBegun) {
+    AbortResponse("the upstream failed to go on");
+    return;
+  }
+  std::string answer =
+    WriteResponseHead(mHead, mBody.size(), KeepAlive()) + mBody;
+  mCaller->SendResponse(std::move(answer), KeepAlive());
+  End(mHead.mStatus, "whole");
+}
+
+// Either the connection or the upstream process may have ended. An upstream
+// that has announced its leave may end at any time, so its end is not reported
+// as a crash.
+void
+Exchange::RecordConnectionLoss(const ConnectionFailure& aFailure)
+{
+  const routing::UpstreamIncarnation life{ .mName = mUpstream,
+                                           .mIncarnation = mSent.mIncarnation };
+  if (aFailure.mRefused) {
+    mCore.OnConnectionRefused(life);
+    return;
+  }
+  if (!aFailure.mMayHaveBeenSent || !mCore.mSelector.IsReady(mUpstream)) {
+    return;
+  }
+  const auto ended = mCore.mCrashWitness.Lost(life,
+                                              mUpstreamAddress,
+                                              { .mContent = mContent,
+                                                .mSentAt = mSent.mSentAt,
+                                                .mLostAt = mCore.mNow(),
+                                                .mHadPermit = mPermit != 0 });
+  mCore.mQuarantineGate.Lost(std::exchange(mPermit, 0), mCore.mNow());
+  if (ended) {
+    mCore.OnUpstreamEnded(*ended);
+  } else if (mCore.mCrashWitness.ShouldProbe(life)) {
+    ProbeIncarnation(mCore, life, mUpstreamAddress);
+  }
+}
+
+void
+Exchange::OnConnectionFailed(const ConnectionFailure& aFailure)
+{
+  RecordConnectionLoss(aFailure);
+  EndAttempt(SendResult::kBroken);
+  mCore.mLogger.Log(EventId::kRequestRetried,
+                    { { "request", mId },
+                      { "content", ToText(mContent) },
+                      { "upstream", mUpstream },
+                      { "cause", aFailure.mReason },
+                      { "may_have_run", aFailure.mMayHaveBeenSent },
+                      { "reused", aFailure.mReused },
+                      { "begun", mBegun } });
+  if (!aFailure.mMayHaveBeenSent) {
+    ++mRefusals;
+    ApplyNextStep(AfterNotExecuted(CurrentState()),
+                  "upstreams can't be reached",
+                  CounterId::kRetryConnectionBroken);
+    return;
+  }
+  ++mRuns;
+  ApplyNextStep(AfterLostResponse(CurrentState()),
+                "the upstream's answer was lost",
+                CounterId::kRetryConnectionBroken);
+}
+
+} // namespace peridotspool::gateway
--- a/src/gateway/ExchangeStart.cpp
+++ b/src/gateway/ExchangeStart.cpp
@@ -1,4 +1,4 @@
-// How a request begins: may it be served, by whom, and until when.
+// Start of a request: admission, choice of a service, and deadline.
 
 #include "gateway/Exchange.h"
 
@@ -15,9 +15,9 @@
 
 using observe::CounterId;
 
-/** Another entry is as good at once. */
-constexpr double kComeBackElsewhere = 0.05;
-constexpr double kComeBackLater = 1.0;
+/** Another entry can serve the request immediately. */
+constexpr double kStoppingRetryAfterSeconds = 0.05;
+constexpr double kNoSettingsRetryAfterSeconds = 1.0;
 
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kNotFound = 404;
@@ -25,39 +25,41 @@
 
 } // namespace
 
-// Returns true iff the exchange waits for what the process lacks yet: GoOn
-// follows when something has come, or the wait is over.
+// Returns true iff the exchange waits for settings or updates that the process
+// has not received yet. ResumeAfterStartup is called when some have come, or
+// when the wait has timed out.
 bool
-Exchange::WaitForStart()
+Exchange::WaitForStartup()
 {
   const TimePoint now = mCore.mNow();
-  const auto wait =
-    mCore.mRefusing ? std::nullopt : mCore.mStartPlan.MayWait(mArrivedAt, now);
+  const auto wait = mCore.mRefusing
+                      ? std::nullopt
+                      : mCore.mStartupPolicy.RemainingWait(mArrivedAt, now);
   if (!wait) {
     return false;
   }
   const std::weak_ptr<Exchange> weak = weak_from_this();
-  const auto goOn = [weak] {
-    if (const auto self = weak.lock(); self && self->mWaitsForStart) {
-      self->GoOn();
+  const auto resume = [weak] {
+    if (const auto self = weak.lock(); self && self->mWaitingForStartup) {
+      self->ResumeAfterStartup();
     }
   };
-  mWaitsForStart = true;
-  mCore.mStarting.emplace_back(goOn);
-  mSlowTimer.expires_after(*wait);
-  mSlowTimer.async_wait([goOn](http::ErrorCode aError) {
+  mWaitingForStartup = true;
+  mCore.mStartupWaiters.emplace_back(resume);
+  mWaitTimer.expires_after(*wait);
+  mWaitTimer.async_wait([resume](http::ErrorCode aError) {
     if (!aError) {
-      goOn();
+      resume();
     }
   });
   return true;
 }
 
 void
-Exchange::GoOn()
+Exchange::ResumeAfterStartup()
 {
-  mWaitsForStart = false;
-  mSlowTimer.cancel();
+  mWaitingForStartup = false;
+  mWaitTimer.cancel();
   if (mTable) {
     Dispatch();
   } else {
@@ -69,7 +71,7 @@
 void
 Exchange::Start()
 {
-  if ((!mTable && WaitForStart()) || !Admit()) {
+  if ((!mTable && WaitForStartup()) || !Admit()) {
     return;
   }
   Duration wait = mRoute->mTimeout;
@@ -85,14 +87,15 @@
       .mHost = FieldOf(mRequest.mFields, "host"),
       .mTarget = mRequest.mTarget,
       .mBody = mRequest.mBody });
-  mCore.mBudget.TakeRequest(mService, mArrivedAt);
-  mTimer.expires_after(wait);
-  mTimer.async_wait([self = shared_from_this()](http::ErrorCode aError) {
-    if (!aError && !self->mOver) {
-      self->OnTimeout();
-    }
-  });
-  AskQuota();
+  mCore.mRetryBudget.RecordRequest(mService, mArrivedAt);
+  mDeadlineTimer.expires_after(wait);
+  mDeadlineTimer.async_wait(
+    [self = shared_from_this()](http::ErrorCode aError) {
+      if (!aError && !self->mEnded) {
+        self->OnTimeout();
+      }
+    });
+  RequestQuota();
 }
 
 bool
@@ -100,43 +103,45 @@
 {
   if (!mTable) {
     mCore.mCounters.Add(CounterId::kRefusedNotConfirmed);
-    AnswerOwn(kUnavailable, "no settings yet", kComeBackLater);
+    SendLocalResponse(
+      kUnavailable, "no settings yet", kNoSettingsRetryAfterSeconds);
     return false;
   }
-  if (mCore.mRefusing || OutlivesProcess()) {
+  if (mCore.mRefusing || MayOutliveProcess()) {
     mCore.mCounters.Add(CounterId::kRefusedDraining);
-    AnswerOwn(kUnavailable, "stopping", kComeBackElsewhere);
+    SendLocalResponse(kUnavailable, "stopping", kStoppingRetryAfterSeconds);
     return false;
   }
   mRoute = mTable->Find(FieldOf(mRequest.mFields, "host"), mRequest.Path());
   if (mRoute == nullptr) {
     mCore.mCounters.Add(CounterId::kRefusedUnknownService);
-    AnswerOwn(kNotFound, "no route");
+    SendLocalResponse(kNotFound, "no route");
     return false;
   }
   if (mTable->HasCustomers()) {
-    mCustomer =
-      mTable->CustomerOf(BearerOf(FieldOf(mRequest.mFields, "authorization")));
+    mCustomer = mTable->CustomerOf(
+      BearerToken(FieldOf(mRequest.mFields, "authorization")));
     if (mCustomer == nullptr && !mRoute->mPublic) {
       mCore.mCounters.Add(CounterId::kRefusedWrongKey);
-      AnswerOwn(kUnauthorized, "unknown key");
+      SendLocalResponse(kUnauthorized, "unknown key");
       return false;
     }
   }
   if (mRoute->mSticky) {
-    mQuestion.mPrompt =
-      ReadPromptParts(FieldOf(mRequest.mFields, mCore.mNames.mPrefix));
+    mSelectionQuery.mPrompt =
+      ParsePromptParts(FieldOf(mRequest.mFields, mCore.mNames.mPrefix));
   }
   return true;
 }
 
 bool
-Exchange::OutlivesProcess() const
+Exchange::MayOutliveProcess() const
 {
   const auto counts =
-    ReadTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
-  return mCore.mStopPlan && counts &&
-         !mCore.mStopPlan->MayTake(LongestTime(*counts), mCore.mNow());
+    ParseTokenCounts(FieldOf(mRequest.mFields, mCore.mNames.mTokenCounts));
+  return mCore.mShutdownPolicy && counts &&
+         !mCore.mShutdownPolicy->MayAccept(MaxGenerationTime(*counts),
+                                           mCore.mNow());
 }
 
 void
@@ -146,10 +151,10 @@
   for (const ServiceShare& share : mRoute->mShares) {
     total += share.mWeight;
   }
-  // A checked table has no route without weight.
+  // A validated table has no route with a total weight of 0.
   PERIDOTSPOOL_INVARIANT(total > 0);
-  mQuestion.mSeed = XXH3_64bits(mId.data(), mId.size());
-  std::uint64_t place = mQuestion.mSeed % total;
+  mSelectionQuery.mSeed = XXH3_64bits(mId.data(), mId.size());
+  std::uint64_t place = mSelectionQuery.mSeed % total;
   for (const ServiceShare& share : mRoute->mShares) {
     if (place < share.mWeight) {
       mService = share.mService;
@@ -157,6 +162,7 @@
     }
     place -= share.mWeight;
   }
-  mQuestion.mService = mService;
+  mSelectionQuery.mService = mService;
 }
+
 } // namespace peridotspool::gateway
--- a/src/gateway/ExchangeVersion.cpp
+++ b/src/gateway/ExchangeVersion.cpp
@@ -1,4 +1,4 @@
-// Which version of its service a request goes to, and what its answer shows.
+// Choice of the service's version for a request, and reports of its results.
 
 #include "gateway/Exchange.h"
 
@@ -8,10 +8,11 @@
 
 namespace {
 
-/** Fewer gaps between a stream's events say nothing of its pace. */
-constexpr std::uint64_t kLeastGaps = 3;
-/** A caller that left after so many times the objective waited in vain. */
-constexpr int kOverlongTimes = 2;
+/** With fewer gaps between events, a stream's pace is not representative. */
+constexpr std::uint64_t kMinGaps = 3;
+/** A response is overdue after this many times the route's latency objective.
+ */
+constexpr int kOverdueFactor = 2;
 
 double
 RatioOf(Duration aOne, Duration aOther)
@@ -22,26 +23,26 @@
 
 } // namespace
 
-// A second look for the same send keeps to the version of the first one.
+// A second selection for the same send keeps the version of the first one.
 void
 Exchange::ChooseVersion()
 {
-  if (mQuestion.mLooksFurther) {
+  if (mSelectionQuery.mUseLongShortlist) {
     return;
   }
   const TimePoint now = mCore.mNow();
-  const auto ready = mCore.mBoard.ReadyVersions(mService);
+  const auto ready = mCore.mSelector.ReadyVersions(mService);
   const bool isFirst = mRuns == 0 && mRefusals == 0;
   const auto choice =
     isFirst ? mCore.mRollouts.ChooseFirst(
-                mService, mRoute->mName, mQuestion.mSeed, ready, now)
-            : mCore.mRollouts.ChooseRepeat(mService, ready, now);
-  mQuestion.mVersions = choice.mFilter;
+                mService, mRoute->mName, mSelectionQuery.mSeed, ready, now)
+            : mCore.mRollouts.ChooseRetry(mService, ready, now);
+  mSelectionQuery.mVersions = choice.mFilter;
   mVersionReason = choice.mReason;
 }
 
 rollout::VersionAnswer
-Exchange::VersionAnswerOf(bool aFailed) const
+Exchange::MakeVersionAnswer(bool aFailed) const
 {
   return { .mService = mService,
            .mVersion = mVersion,
@@ -49,50 +50,52 @@
            .mRoute = mRoute->mName,
            .mFailed = aFailed,
            .mPace = {},
-           .mFirst = {},
-           .mTook = mCore.mNow() - mSent.mSentAt };
+           .mFirstEvent = {},
+           .mTotalTime = mCore.mNow() - mSent.mSentAt };
 }
 
-// The time to the first event depends on what the engine keeps of the prompt,
-// of which an engine that has just started keeps nothing: it is compared with
-// the time that the whole prompt takes to read.
+// The time to the first event depends on how much of the prompt the engine has
+// cached, and an engine that has just started has nothing cached. The time is
+// therefore divided by the time expected for the uncached prompt.
 void
-Exchange::NoteVersion(bool aFailed)
+Exchange::RecordVersionAnswer(bool aFailed)
 {
-  if (aFailed && mCore.mRollouts.IsTrying(mService, mVersion)) {
+  if (aFailed && mCore.mRollouts.IsRollingOut(mService, mVersion)) {
     mCore.mCounters.Add(observe::CounterId::kNewVersionFailed);
   }
-  rollout::VersionAnswer answer = VersionAnswerOf(aFailed);
+  rollout::VersionAnswer answer = MakeVersionAnswer(aFailed);
   if (!mIsStream) {
     answer.mPace = mCore.mNow() - mSent.mSentAt;
-  } else if (mPieces > 0) {
-    answer.mFirst =
-      RatioOf(mFirstPieceAt - mSent.mSentAt,
-              mCore.mBoard.TimeToRead(mService, mQuestion.mPrompt.Tokens()));
-    if (mPieces > kLeastGaps) {
-      answer.mPace = (mLastEventAt - mFirstPieceAt) /
-                     static_cast<Duration::rep>(mPieces - 1);
+  } else if (mEventBatches > 0) {
+    answer.mFirstEvent = RatioOf(mFirstBatchAt - mSent.mSentAt,
+                                 mCore.mSelector.UncachedFirstEventTime(
+                                   mService, mSelectionQuery.mPrompt.Tokens()));
+    if (mEventBatches > kMinGaps) {
+      answer.mPace = (mLastEventAt - mFirstBatchAt) /
+                     static_cast<Duration::rep>(mEventBatches - 1);
     }
   }
-  mCore.mRollouts.NoteAnswer(answer);
+  mCore.mRollouts.RecordAnswer(answer);
 }
 
-// An answer that doesn't come is as slow as it was waited for.
+// A response that has not come when the wait ends counts as one that took as
+// long as the wait. Waits shorter than kOverdueFactor objectives are ignored.
 void
-Exchange::NoteOverlong()
+Exchange::RecordOverdueAnswer()
 {
   const Duration waited = mCore.mNow() - mSent.mSentAt;
-  if (waited < kOverlongTimes * mRoute->mTargetLatency) {
+  if (waited < kOverdueFactor * mRoute->mTargetLatency) {
     return;
   }
-  rollout::VersionAnswer answer = VersionAnswerOf(false);
+  rollout::VersionAnswer answer = MakeVersionAnswer(false);
   if (mRoute->mKind != RequestKind::kStreaming) {
     answer.mPace = waited;
-  } else if (mPieces == 0) {
-    answer.mFirst = RatioOf(
-      waited, mCore.mBoard.TimeToRead(mService, mQuestion.mPrompt.Tokens()));
+  } else if (mEventBatches == 0) {
+    answer.mFirstEvent = RatioOf(waited,
+                                 mCore.mSelector.UncachedFirstEventTime(
+                                   mService, mSelectionQuery.mPrompt.Tokens()));
   }
-  mCore.mRollouts.NoteAnswer(answer);
+  mCore.mRollouts.RecordAnswer(answer);
 }
 
 } // namespace peridotspool::gateway
--- a/src/gateway/Gateway.h
+++ b/src/gateway/Gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/CallerLink.h"
+#include "gateway/CallerConnection.h"
 #include "gateway/Exchange.h"
 #include "gateway/GatewayCore.h"
 
@@ -18,31 +18,33 @@
 };
 
 /**
- * Takes callers' connections and starts an exchange for each request. Lives on
- * the relay thread.
+ * Accepts callers' connections and starts an exchange for each request. Used on
+ * the relay thread only.
  */
-class Gateway : public CallerLinkOwner
+class Gateway : public CallerConnectionOwner
 {
 public:
   Gateway(GatewayCore& aCore, GatewayOptions aOptions);
 
-  /** Listens; false with the reason if it can't. */
+  /** Starts listening; returns false and sets the reason on failure. */
   bool Start(LastReason& aReason);
-  /** About every 100 ms: what was idle, or slow to send, for too long. */
+  /** Closes connections whose time-outs have passed. Called every 50 ms;
+   * acts every 500 ms. */
   void Sweep(TimePoint aNow);
   void StopAccepting();
-  /** Ends connections without a request under way. */
+  /** Closes connections without a request in progress. */
   void CloseIdle();
 
-  /** No request is served, and callers were sent all that they are owed. */
+  /** Returns true iff no request is being served and all responses have been
+   * written. */
   bool IsQuiet() const;
   std::size_t Exchanges() const { return mExchanges.size(); }
-  std::size_t Connections() const { return mLinks.size(); }
+  std::size_t Connections() const { return mConnections.size(); }
 
-  void OnRequest(const std::shared_ptr<CallerLink>& aLink,
+  void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerRequest aRequest) override;
-  void OnGone(CallerLink& aLink) override;
-  void OnClosed(CallerLink& aLink) override;
+  void OnDisconnected(CallerConnection& aConnection) override;
+  void OnClosed(CallerConnection& aConnection) override;
   void OnMalformed(unsigned aStatus, const std::string& aReason) override;
   CallerLimits Limits() const override;
   TimePoint Now() const override { return mCore.mNow(); }
@@ -54,8 +56,9 @@
   GatewayOptions mOptions;
   http::Tcp::acceptor mAcceptor;
   http::net::steady_timer mAcceptTimer;
-  std::unordered_map<CallerLink*, std::shared_ptr<CallerLink>> mLinks;
-  std::unordered_map<CallerLink*, std::shared_ptr<Exchange>> mExchanges;
+  std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
+    mConnections;
+  std::unordered_map<CallerConnection*, std::shared_ptr<Exchange>> mExchanges;
   TimePoint mSweptAt;
 };
 
--- a/src/gateway/GatewayCore.cpp
+++ b/src/gateway/GatewayCore.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/** Contents named in one log line. */
-constexpr std::size_t kMostNamed = 8;
-/** Contents named in one report; the others' turn comes with the next. */
-constexpr std::size_t kMostCameAgain = 16;
+/** Bounds the contents named in one log line. */
+constexpr std::size_t kMaxLoggedContents = 8;
+/** Bounds the contents named in one report. Others are reported when they are
+ * resubmitted later. */
+constexpr std::size_t kMaxResubmitted = 16;
 
 std::string
-ContentsOf(const routing::EndedLife& aEnded)
+ContentsOf(const routing::UpstreamCrash& aEnded)
 {
   std::string text;
-  const std::size_t named = std::min(kMostNamed, aEnded.mLost.size());
+  const std::size_t named = std::min(kMaxLoggedContents, aEnded.mLost.size());
   for (std::size_t i = 0; i < named; ++i) {
     text += (i == 0 ? "" : ",") + ToText(aEnded.mLost[i].mContent);
   }
@@ -25,114 +26,116 @@
 } // namespace
 
 void
-GatewayCore::NoteRefused(const routing::UpstreamLife& aLife)
+GatewayCore::OnConnectionRefused(const routing::UpstreamIncarnation& aLife)
 {
-  if (const auto ended = mWitness.Refused(aLife, mNow())) {
-    NoteEnded(*ended);
+  if (const auto ended = mCrashWitness.Refused(aLife, mNow())) {
+    OnUpstreamEnded(*ended);
   }
 }
 
 void
-GatewayCore::NoteEnded(const routing::EndedLife& aEnded)
+GatewayCore::OnUpstreamEnded(const routing::UpstreamCrash& aEnded)
 {
   mCounters.Add(observe::CounterId::kUpstreamEnded);
   mLogger.Log(
     observe::EventId::kUpstreamEnded,
-    { { "upstream", aEnded.mLife.mName },
-      { "incarnation", aEnded.mLife.mIncarnation },
+    { { "upstream", aEnded.mUpstream.mName },
+      { "incarnation", aEnded.mUpstream.mIncarnation },
       { "shown_by",
-        aEnded.mShownBy == routing::EndShownBy::kNextLife ? "its next life"
-                                                          : "a refusal" },
+        aEnded.mCrashEvidence == routing::CrashEvidence::kNewIncarnation
+          ? "its next incarnation"
+          : "a refused connection" },
       { "lost", aEnded.mLost.size() },
       { "contents", ContentsOf(aEnded) } });
-  mCrashes.Add(aEnded);
-  TellCrashes();
+  mCrashReporter.Add(aEnded);
+  ReportCrashes();
 }
 
 void
-GatewayCore::NoteCameAgain(const ContentId& aContent)
+GatewayCore::RecordResubmitted(const ContentId& aContent)
 {
-  if (mCameAgain.size() < kMostCameAgain) {
-    mCameAgain.insert(aContent);
+  if (mResubmittedContents.size() < kMaxResubmitted) {
+    mResubmittedContents.insert(aContent);
   }
 }
 
 void
-GatewayCore::TellCrashes()
+GatewayCore::ReportCrashes()
 {
-  if (auto report = mCrashes.Report(mNow())) {
-    mTellLeader(std::move(*report));
+  if (auto report = mCrashReporter.Report(mNow())) {
+    mSendToLeader(std::move(*report));
   }
 }
 
 void
-GatewayCore::TickGate()
+GatewayCore::TickQuarantine()
 {
-  mCrashes.Forget(mNow());
-  TellCrashes();
-  CarryOut(mGate.Tick(mNow()));
+  mCrashReporter.Forget(mNow());
+  ReportCrashes();
+  ApplyGateTick(mQuarantineGate.Tick(mNow()));
 }
 
 void
-GatewayCore::CarryOut(const routing::GateTick& aTick)
+GatewayCore::ApplyGateTick(const routing::GateActions& aTick)
 {
-  for (const routing::TurnAsk& ask : aTick.mAsks) {
-    mTellLeader(ask);
+  for (const routing::PermitRequest& ask : aTick.mPermitRequests) {
+    mSendToLeader(ask);
   }
-  for (const routing::TurnEnded& ended : aTick.mEnded) {
-    mTellLeader(ended);
+  for (const routing::RunEnded& ended : aTick.mEnded) {
+    mSendToLeader(ended);
   }
-  for (const routing::GateDecided& decided : aTick.mDecided) {
-    Decide(decided);
+  for (const routing::GateDecision& decided : aTick.mDecisions) {
+    HandleGateDecision(decided);
   }
 }
 
 void
-GatewayCore::TakeTold(const routing::QuarantineTold& aTold)
+GatewayCore::HandleQuarantineUpdate(const routing::QuarantineUpdate& aTold)
 {
-  const std::uint64_t before = mGate.Known();
-  const routing::GateTick tick = mGate.Take(aTold, mNow());
-  if (mGate.Known() != before) {
-    mCounters.Set(observe::CounterId::kQuarantined, mGate.Listed());
+  const std::uint64_t before = mQuarantineGate.KnownNumber();
+  const routing::GateActions tick = mQuarantineGate.ApplyUpdate(aTold, mNow());
+  if (mQuarantineGate.KnownNumber() != before) {
+    mCounters.Set(observe::CounterId::kQuarantined,
+                  mQuarantineGate.ListedCount());
     mLogger.Log(observe::EventId::kQuarantineTaken,
                 { { "from", aTold.mFrom },
                   { "to", aTold.mTo },
                   { "changed", aTold.mLines.size() },
-                  { "listed", mGate.Listed() } });
+                  { "listed", mQuarantineGate.ListedCount() } });
   }
-  CarryOut(tick);
-  WakeStarting();
+  ApplyGateTick(tick);
+  ResumeStartupWaiters();
 }
 
 void
-GatewayCore::Take(const rollout::RolloutUpdate& aUpdate)
+GatewayCore::HandleRolloutUpdate(const rollout::RolloutUpdate& aUpdate)
 {
   const std::uint64_t before = mRollouts.Number();
-  mRollouts.Take(aUpdate, mNow());
+  mRollouts.ApplyUpdate(aUpdate, mNow());
   if (mRollouts.Number() != before) {
     mLogger.Log(observe::EventId::kRolloutTaken,
                 { { "number", mRollouts.Number() },
                   { "services", aUpdate.mServices.size() },
                   { "running", mRollouts.HasRunning() } });
   }
-  WakeStarting();
+  ResumeStartupWaiters();
 }
 
 void
-GatewayCore::TakeTurn(const routing::TurnAnswer& aAnswer)
+GatewayCore::HandlePermitResponse(const routing::PermitResponse& aAnswer)
 {
-  if (const auto decided = mGate.Take(aAnswer)) {
-    Decide(*decided);
+  if (const auto decided = mQuarantineGate.OnPermitResponse(aAnswer)) {
+    HandleGateDecision(*decided);
   }
 }
 
 void
-GatewayCore::Decide(const routing::GateDecided& aDecided)
+GatewayCore::HandleGateDecision(const routing::GateDecision& aDecided)
 {
-  const auto waiting = mAtGate.find(aDecided.mTag);
-  if (waiting != mAtGate.end()) {
+  const auto waiting = mGateWaiters.find(aDecided.mTag);
+  if (waiting != mGateWaiters.end()) {
     const auto call = std::move(waiting->second);
-    mAtGate.erase(waiting);
+    mGateWaiters.erase(waiting);
     call(aDecided.mOutcome);
   }
 }
