--- a/src/gateway/GatewayCore.h
+++ b/src/gateway/GatewayCore.h
@@ -1,24 +1,24 @@
 #pragma once
 
-#include "gateway/UpstreamPool.h"
+#include "gateway/UpstreamConnectionPool.h"
 #include "http/BeastTypes.h"
 #include "peridotspool/base/Time.h"
+#include "peridotspool/gateway/CoordinatorMap.h"
 #include "peridotspool/gateway/HeaderNames.h"
-#include "peridotspool/gateway/KeeperMap.h"
-#include "peridotspool/gateway/LoadInquiries.h"
-#include "peridotspool/gateway/LoadKeeper.h"
-#include "peridotspool/gateway/QuotaGate.h"
-#include "peridotspool/gateway/RepeatBudget.h"
+#include "peridotspool/gateway/LoadCoordinator.h"
+#include "peridotspool/gateway/PendingLoadQueries.h"
+#include "peridotspool/gateway/QuotaClient.h"
 #include "peridotspool/gateway/RouteTable.h"
-#include "peridotspool/gateway/StartPlan.h"
-#include "peridotspool/gateway/StopPlan.h"
-#include "peridotspool/gateway/UpstreamBoard.h"
-#include "peridotspool/gateway/UsageTally.h"
+#include "peridotspool/gateway/ServiceRetryBudget.h"
+#include "peridotspool/gateway/ShutdownPolicy.h"
+#include "peridotspool/gateway/StartupPolicy.h"
+#include "peridotspool/gateway/UpstreamSelector.h"
+#include "peridotspool/gateway/UsageCounter.h"
 #include "peridotspool/observe/Counters.h"
 #include "peridotspool/observe/Logger.h"
 #include "peridotspool/rollout/RolloutGate.h"
+#include "peridotspool/routing/CrashDetector.h"
 #include "peridotspool/routing/CrashReporter.h"
-#include "peridotspool/routing/CrashWitness.h"
 #include "peridotspool/routing/QuarantineGate.h"
 
 #include <cstdint>
@@ -32,102 +32,110 @@
 
 namespace peridotspool::gateway {
 
-/** How an exchange goes on that waits for keepers' word. */
-struct AskingExchange
+/** An exchange that waits for load coordinators' responses. */
+struct LoadWaiter
 {
-  /** Takes what a keeper knows of one upstream. */
-  std::function<void(const LoadLine&)> mTake;
-  std::function<void()> mGoOn;
+  /** Receives the load of one upstream. */
+  std::function<void(const UpstreamLoad&)> mOnLoad;
+  /** Called once all load coordinators have responded. */
+  std::function<void()> mResume;
 };
 
-/** What all exchanges of one entry share; lives on the relay thread. */
+/** State that all exchanges of an entry share; used on the relay thread only.
+ */
 struct GatewayCore
 {
   http::net::io_context& mIo;
   HeaderNames mNames;
-  UpstreamBoard mBoard;
-  RepeatBudget mBudget;
-  UpstreamPool mPool;
+  UpstreamSelector mSelector;
+  ServiceRetryBudget mRetryBudget;
+  UpstreamConnectionPool mPool;
   observe::Logger& mLogger;
   observe::Counters& mCounters;
   std::function<TimePoint()> mNow;
-  QuotaGate mQuota;
-  UsageTally mUsage;
-  /** Sends to the leader; dropped where none is known. */
-  std::function<void(SharedMessage)> mTellLeader;
-  KeeperMap mKeepers;
-  /** The upstreams that this entry keeps account of. */
-  LoadKeeper mKeeper;
-  LoadInquiries mInquiries;
-  /** Sends to another entry; what is for this one is taken at once. */
-  std::function<void(const Address&, SharedMessage)> mTellEntry;
-  /** Distinguishes the sends of this process from those of others. */
-  std::uint64_t mLastSend = 0;
-  /** The own time of day, in microseconds. */
-  std::function<std::int64_t()> mWall;
-  /** Exchanges that wait for the leader's word, by the gate's tag. */
-  std::unordered_map<std::uint64_t, std::function<void(const QuotaDecided&)>>
-    mWaiting;
-  /** Exchanges that wait for keepers' word, by the inquiry's tag. */
-  std::unordered_map<std::uint64_t, AskingExchange> mAsking;
-  StartPlan mStartPlan;
-  /** Goes on with the exchanges that wait for settings or an upstream. */
-  std::vector<std::function<void()>> mStarting;
-  /** Null until the first settings have come. */
+  QuotaClient mQuota;
+  UsageCounter mUsage;
+  /** Sends a message to the leader; drops it if no leader is known. */
+  std::function<void(PeerMessage)> mSendToLeader;
+  CoordinatorMap mCoordinators;
+  /** Tracks the load of the upstreams that this entry coordinates. */
+  LoadCoordinator mCoordinator;
+  PendingLoadQueries mLoadQueries;
+  /** Sends a message to an entry; one to this entry is handled at once. */
+  std::function<void(const Address&, PeerMessage)> mSendToEntry;
+  /** Id of the last request sent. Starts at a random number, so that ids of
+   * this process differ from those of others. */
+  std::uint64_t mLastSendId = 0;
+  /** Reads the local wall clock in microseconds. */
+  std::function<std::int64_t()> mWallClock;
+  /** Exchanges that wait for the leader's quota decision, by its tag. */
+  std::unordered_map<std::uint64_t,
+                     std::function<void(const DeferredQuotaDecision&)>>
+    mQuotaWaiters;
+  /** Exchanges that wait for load coordinators, by the query's tag. */
+  std::unordered_map<std::uint64_t, LoadWaiter> mLoadWaiters;
+  StartupPolicy mStartupPolicy;
+  /** Functions that resume the exchanges that wait for settings or for an
+   * upstream. */
+  std::vector<std::function<void()>> mStartupWaiters;
+  /** Null until the first settings have been received. */
   std::shared_ptr<const RouteTable> mTable;
-  /** The process was told to stop: answers end their connections. */
+  /** The process is stopping; each response closes its connection. */
   bool mStopping = false;
-  /** Set once it was told to. */
-  std::optional<StopPlan> mStopPlan;
-  /** Requests are refused: the process is about to end. */
+  /** Set once the process is stopping. */
+  std::optional<ShutdownPolicy> mShutdownPolicy;
+  /** Requests are refused because the process is about to exit. */
   bool mRefusing = false;
-  routing::CrashWitness mWitness;
-  routing::CrashReporter mCrashes;
-  routing::QuarantineGate mGate;
-  /** Exchanges that wait at the gate, by its tag. */
+  routing::CrashDetector mCrashWitness;
+  routing::CrashReporter mCrashReporter;
+  routing::QuarantineGate mQuarantineGate;
+  /** Exchanges that wait for the quarantine gate, by its tag. */
   std::unordered_map<std::uint64_t, std::function<void(routing::GateOutcome)>>
-    mAtGate;
-  /** Contents refused since the last report to the leader. */
-  std::set<ContentId> mCameAgain;
+    mGateWaiters;
+  /** Quarantined contents refused since the last report to the leader. */
+  std::set<ContentId> mResubmittedContents;
   rollout::RolloutGate mRollouts;
 
-  /** A keeper has answered. */
-  void TakeTold(const LoadTold& aTold)
+  /** Applies a load coordinator's response and resumes the exchange that
+   * waited for it, once it was the last one due. */
+  void HandleLoadResponse(const LoadResponse& aTold)
   {
-    const auto asking = mAsking.find(aTold.mTag);
-    for (const LoadLine& line : aTold.mLines) {
-      mBoard.TakeKept(line, mNow());
-      if (asking != mAsking.end()) {
-        asking->second.mTake(line);
+    const auto waiter = mLoadWaiters.find(aTold.mTag);
+    for (const UpstreamLoad& line : aTold.mLoads) {
+      mSelector.ApplyCoordinatorLoad(line, mNow());
+      if (waiter != mLoadWaiters.end()) {
+        waiter->second.mOnLoad(line);
       }
     }
-    if (mInquiries.Take(aTold) && asking != mAsking.end()) {
-      const auto goOn = std::move(asking->second.mGoOn);
-      mAsking.erase(asking);
-      goOn();
+    if (mLoadQueries.HandleResponse(aTold) && waiter != mLoadWaiters.end()) {
+      const auto resume = std::move(waiter->second.mResume);
+      mLoadWaiters.erase(waiter);
+      resume();
     }
   }
 
-  /** Nobody listens any more where a life of an upstream did. */
-  void NoteRefused(const routing::UpstreamLife& aLife);
-  void NoteEnded(const routing::EndedLife& aEnded);
-  /** A request of a content that isn't run any more was refused. */
-  void NoteCameAgain(const ContentId& aContent);
-  /** Tells the leader which ends it hasn't heard of. */
-  void TellCrashes();
-  /** About every 50 ms. */
-  void TickGate();
-  void TakeTold(const routing::QuarantineTold& aTold);
-  void Take(const rollout::RolloutUpdate& aUpdate);
-  void TakeTurn(const routing::TurnAnswer& aAnswer);
-  void Decide(const routing::GateDecided& aDecided);
-  void CarryOut(const routing::GateTick& aTick);
+  /** A connection to the address of an upstream's incarnation was refused. */
+  void OnConnectionRefused(const routing::UpstreamIncarnation& aLife);
+  /** Logs and reports the end of an upstream's incarnation. */
+  void OnUpstreamEnded(const routing::UpstreamCrash& aEnded);
+  /** Records that a request with a quarantined content was refused. */
+  void RecordResubmitted(const ContentId& aContent);
+  /** Reports crashes to the leader that it has not confirmed yet. */
+  void ReportCrashes();
+  /** Advances the quarantine gate and crash reports; called every 50 ms. */
+  void TickQuarantine();
+  void HandleQuarantineUpdate(const routing::QuarantineUpdate& aTold);
+  void HandleRolloutUpdate(const rollout::RolloutUpdate& aUpdate);
+  void HandlePermitResponse(const routing::PermitResponse& aAnswer);
+  void HandleGateDecision(const routing::GateDecision& aDecided);
+  void ApplyGateTick(const routing::GateActions& aTick);
 
-  /** Something that a starting process lacked has come. */
-  void WakeStarting()
+  /** Resumes exchanges that wait for startup; called when settings or upstreams
+   * have been received. */
+  void ResumeStartupWaiters()
   {
-    for (const auto& goOn : std::exchange(mStarting, {})) {
-      goOn();
+    for (const auto& resume : std::exchange(mStartupWaiters, {})) {
+      resume();
     }
   }
 };
--- a/src/gateway/LifeProbe.cpp
+++ b/src/gateway/IncarnationProbe.cpp
@@ -1,4 +1,4 @@
-#include "gateway/LifeProbe.h"
+#include "gateway/IncarnationProbe.h"
 
 #include <boost/asio/ip/address.hpp>
 
@@ -10,8 +10,9 @@
 
 namespace net = http::net;
 
-/** A process that is gone refuses at once; silence shows nothing. */
-constexpr Duration kPatience = std::chrono::milliseconds(500);
+/** The address of a process that has ended refuses at once. A time-out is
+ * inconclusive. */
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
 struct Probe
 {
@@ -28,9 +29,9 @@
 } // namespace
 
 void
-ProbeLife(GatewayCore& aCore,
-          const routing::UpstreamLife& aLife,
-          const Address& aAddress)
+ProbeIncarnation(GatewayCore& aCore,
+                 const routing::UpstreamIncarnation& aLife,
+                 const Address& aAddress)
 {
   http::ErrorCode error;
   const auto host = net::ip::make_address(aAddress.mHost, error);
@@ -38,7 +39,7 @@
     return;
   }
   const auto probe = std::make_shared<Probe>(aCore.mIo);
-  probe->mTimer.expires_after(kPatience);
+  probe->mTimer.expires_after(kProbeTimeout);
   probe->mTimer.async_wait([probe](http::ErrorCode aError) {
     if (!aError) {
       http::ErrorCode ignored;
@@ -50,9 +51,9 @@
     [probe, &aCore, life = aLife](http::ErrorCode aError) {
       probe->mTimer.cancel();
       if (!aError) {
-        aCore.mWitness.Accepted(life);
+        aCore.mCrashWitness.Accepted(life);
       } else if (aError == net::error::connection_refused) {
-        aCore.NoteRefused(life);
+        aCore.OnConnectionRefused(life);
       }
     });
 }
--- a/src/gateway/SocketOptions.h
+++ b/src/gateway/SocketOptions.h
@@ -5,14 +5,15 @@
 namespace peridotspool::gateway {
 
 /**
- * Small writes leave at once, and a connection whose other end has gone silent
- * ends by itself: without that, what is sent on it waits for minutes.
+ * Disables Nagle's algorithm, so that small writes are sent at once, and sets
+ * TCP_USER_TIMEOUT, so that a connection to an unresponsive peer is closed.
+ * Without the latter, data sent on it would wait for minutes.
  */
 void
 SetSocketOptions(http::Tcp::socket& aSocket);
 
-/** Returns true iff the other end has closed, or sent what nobody asked for. */
+/** Returns true iff the peer has closed the connection or data can be read. */
 bool
-HasEnded(http::Tcp::socket& aSocket);
+HasEofOrData(http::Tcp::socket& aSocket);
 
 } // namespace peridotspool::gateway
--- /dev/null
+++ b/src/gateway/UpstreamConnection.h
@@ -0,0 +1,118 @@
+#pragma once
+
+#include "http/BeastTypes.h"
+#include "peridotspool/base/Address.h"
+#include "peridotspool/base/Ids.h"
+#include "peridotspool/base/Time.h"
+#include "peridotspool/gateway/RequestHead.h"
+
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+namespace peridotspool::gateway {
+
+/** Why a connection to an upstream failed during a request. */
+struct ConnectionFailure
+{
+  std::string mReason;
+  /** If false, the upstream has certainly not received the request. */
+  bool mMayHaveBeenSent = true;
+  /** The connection had served an earlier request. */
+  bool mReused = false;
+  /** The upstream's address refused the connection. */
+  bool mRefused = false;
+};
+
+/** Receives the events of a request's upstream connection, on the relay
+ * thread. */
+class UpstreamListener
+{
+public:
+  virtual ~UpstreamListener() = default;
+  /** Returns false iff the response belongs to another request and is to be
+   * skipped. */
+  virtual bool OnHead(ResponseHead aHead) = 0;
+  virtual void OnBody(std::string aBytes) = 0;
+  /** The response is complete. */
+  virtual void OnEnd() = 0;
+  virtual void OnConnectionFailed(const ConnectionFailure& aFailure) = 0;
+};
+
+/**
+ * One connection to one upstream, for one request at a time. Its listener is
+ * called until the request has ended or the connection is dropped, and not
+ * after that.
+ */
+class UpstreamConnection
+  : public std::enable_shared_from_this<UpstreamConnection>
+{
+public:
+  UpstreamConnection(http::net::io_context& aIo, UpstreamName aName);
+
+  /** Connects and then sends a request. */
+  void Open(const Address& aAddress,
+            Duration aTimeout,
+            std::string aRequest,
+            UpstreamListener* aListener);
+  /** Sends another request on an idle connection. */
+  void Send(std::string aRequest, UpstreamListener* aListener);
+  /** Closes the connection without calling the listener. */
+  void Drop();
+  /** Stops reading until Resume is called. */
+  void Pause() { mPaused = true; }
+  void Resume();
+
+  const UpstreamName& Name() const { return mName; }
+  /** Returns true iff the connection can carry another request, judged by what
+   * has been read from it. */
+  bool IsReusable() const;
+  /** Returns true iff it is reusable and the peer has neither closed it nor
+   * sent unexpected data. */
+  bool IsStillOpen();
+  /** The idle time-out that the upstream announced in Keep-Alive; empty if it
+   * announced none. */
+  std::optional<Duration> AdvertisedIdleTimeout() const
+  {
+    return mAdvertisedIdleTimeout;
+  }
+
+private:
+  using Parser =
+    http::beast_http::response_parser<http::beast_http::string_body>;
+
+  void OnConnected(http::ErrorCode aError);
+  void StartParser();
+  void WriteRequest();
+  void Read();
+  void OnRead(http::ErrorCode aError, std::size_t aBytes);
+  void OnReadEnd(http::ErrorCode aError);
+  void Parse();
+  bool HandleHead();
+  void HandleBody();
+  void FinishResponse();
+  void Fail(const std::string& aReason, bool aRefused = false);
+  void Close();
+
+  http::Tcp::socket mSocket;
+  http::net::steady_timer mConnectTimer;
+  UpstreamName mName;
+  UpstreamListener* mListener = nullptr;
+  http::beast::flat_buffer mBuffer;
+  std::optional<Parser> mParser;
+  std::string mRequest;
+  bool mWriting = false;
+  bool mReading = false;
+  bool mPaused = false;
+  bool mClosed = false;
+  bool mHeadReported = false;
+  bool mSkipping = false;
+  bool mKeepAlive = false;
+  bool mSent = false;
+  std::size_t mServedRequests = 0;
+  std::size_t mSkippedResponses = 0;
+  std::optional<Duration> mAdvertisedIdleTimeout;
+};
+
+} // namespace peridotspool::gateway
--- a/src/ledger/CallDuty.cpp
+++ b/src/ledger/CallTracker.cpp
@@ -1,6 +1,6 @@
-#include "ledger/CallDuty.h"
+#include "ledger/CallTracker.h"
 
-#include "ledger/PrimaryDuty.h"
+#include "ledger/ShardPrimary.h"
 
 #include <algorithm>
 
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** Returns the operation as it stands after it has waited. */
+/**
+ * Returns the operation with its remaining time reduced by the time that it has
+ * waited.
+ */
 Operation
 Aged(const Operation& aOperation, Duration aAge)
 {
@@ -21,14 +24,14 @@
 
 } // namespace
 
-CallDuty::CallDuty(LedgerContext& aContext, PrimaryDuty& aPrimary)
+CallTracker::CallTracker(LedgerContext& aContext, ShardPrimary& aPrimary)
   : mContext(aContext)
   , mPrimary(aPrimary)
 {
 }
 
 void
-CallDuty::OnPropose(const ProposeEvent& aEvent)
+CallTracker::OnPropose(const ProposeEvent& aEvent)
 {
   const auto [place, isNew] =
     mCalls.try_emplace(aEvent.mCall,
@@ -43,10 +46,10 @@
 }
 
 void
-CallDuty::Send(CallId aId, Call& aCall)
+CallTracker::Send(CallId aId, Call& aCall)
 {
   mTimers.erase({ aCall.mNextSend, aId });
-  aCall.mNextSend = mContext.mNow + mContext.mOptions.mResendAfter;
+  aCall.mNextSend = mContext.mNow + mContext.mOptions.mResendInterval;
   mTimers.emplace(aCall.mNextSend, aId);
   const ShardId shard = ShardOf(aCall.mKey);
   const MemberId primary = mContext.mPlacement.PrimaryOf(shard);
@@ -62,7 +65,8 @@
                                   .mOperation = std::move(operation) });
     return;
   }
-  // The answer may come at once and end the call: aCall is not used after.
+  // The answer may arrive synchronously and end the call, so aCall must not be
+  // used afterwards.
   const RequestKey key = aCall.mKey;
   mPrimary.Propose(mContext.ShardAt(shard),
                    { .mOrigin = { .mMember = mContext.mSelf, .mCall = aId },
@@ -71,13 +75,13 @@
 }
 
 void
-CallDuty::OnAnswer(CallId aCall, const OperationAnswer& aAnswer)
+CallTracker::OnAnswer(CallId aCall, const OperationAnswer& aAnswer)
 {
   Finish(aCall, aAnswer);
 }
 
 void
-CallDuty::Finish(CallId aId, OperationAnswer aAnswer)
+CallTracker::Finish(CallId aId, OperationAnswer aAnswer)
 {
   const auto found = mCalls.find(aId);
   if (found == mCalls.end()) {
@@ -97,10 +101,10 @@
   mCalls.erase(found);
 }
 
-// A primary drops what it had under way when its replica set changes, also
-// when it stays the primary, so everything is sent again at once.
+// A primary drops its operations in progress when its replica set changes, even
+// if it remains the primary, so all open calls are resent at once.
 void
-CallDuty::OnEpoch()
+CallTracker::OnEpoch()
 {
   std::vector<CallId> open;
   open.reserve(mCalls.size());
@@ -115,7 +119,7 @@
 }
 
 void
-CallDuty::OnTick()
+CallTracker::OnTick()
 {
   std::vector<CallId> due;
   for (auto timer = mTimers.begin();
@@ -129,7 +133,7 @@
       continue;
     }
     const Duration age = mContext.mNow - found->second.mStarted;
-    if (age >= mContext.mOptions.mGiveUpAfter) {
+    if (age >= mContext.mOptions.mCallTimeout) {
       Finish(id, OperationAnswer{ .mVerdict = Verdict::kNoAnswer });
       continue;
     }
--- a/src/ledger/CallDuty.h
+++ b/src/ledger/CallTracker.h
@@ -9,17 +9,20 @@
 
 namespace peridotspool::ledger {
 
-class PrimaryDuty;
+class ShardPrimary;
 
-/** This entry's own operations: sent to primaries until they are answered. */
-class CallDuty
+/**
+ * Tracks the operations that this entry proposes and resends them to the
+ * primaries until they are answered.
+ */
+class CallTracker
 {
 public:
-  CallDuty(LedgerContext& aContext, PrimaryDuty& aPrimary);
+  CallTracker(LedgerContext& aContext, ShardPrimary& aPrimary);
 
   void OnPropose(const ProposeEvent& aEvent);
   void OnAnswer(CallId aCall, const OperationAnswer& aAnswer);
-  /** Sends all open calls again, to the primaries of the new epoch. */
+  /** Resends all open calls to the primaries of the new epoch. */
   void OnEpoch();
   void OnTick();
 
@@ -36,7 +39,7 @@
   void Finish(CallId aId, OperationAnswer aAnswer);
 
   LedgerContext& mContext;
-  PrimaryDuty& mPrimary;
+  ShardPrimary& mPrimary;
   std::map<CallId, Call> mCalls;
   std::set<std::pair<TimePoint, CallId>> mTimers;
 };
--- a/src/ledger/TransferDuty.cpp
+++ b/src/ledger/CopyTransfer.cpp
@@ -1,4 +1,4 @@
-#include "ledger/TransferDuty.h"
+#include "ledger/CopyTransfer.h"
 
 #include <set>
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Takes records in key order until a chunk is full. */
+/** Collects records in key order until a chunk is full. */
 class ChunkBuilder
 {
 public:
@@ -20,7 +20,9 @@
   {
   }
 
-  /** Adds one key's state; returns false when the chunk is full after it. */
+  /**
+   * Adds the state of one key. Returns false if the chunk is full afterwards.
+   */
   bool Add(const RequestKey& aKey)
   {
     const StoredRecord* stored = mStore.Find(aKey);
@@ -45,7 +47,10 @@
   std::optional<RequestKey> mLastKey;
 };
 
-/** Adds the keys of a range after `aAfter`; names the last if some are left. */
+/**
+ * Adds the keys of a range after the chunk's mAfter. Sets mNext to the last key
+ * added if more keys remain.
+ */
 void
 AddKeys(ChunkBuilder& aBuilder,
         ChunkMessage& aChunk,
@@ -86,13 +91,13 @@
 
 } // namespace
 
-TransferDuty::TransferDuty(LedgerContext& aContext)
+CopyTransfer::CopyTransfer(LedgerContext& aContext)
   : mContext(aContext)
 {
 }
 
 void
-TransferDuty::Start(Shard& aShard, MemberId aSource)
+CopyTransfer::Start(Shard& aShard, MemberId aSource)
 {
   if (!aShard.mFill || aShard.mFill->mSource != aSource) {
     aShard.mFill = ShardFill();
@@ -102,10 +107,10 @@
 }
 
 void
-TransferDuty::Pull(Shard& aShard)
+CopyTransfer::Pull(Shard& aShard)
 {
   ShardFill& fill = *aShard.mFill;
-  fill.mNextResend = mContext.mNow + mContext.mOptions.mResendAfter;
+  fill.mNextResend = mContext.mNow + mContext.mOptions.mResendInterval;
   mContext.Send(fill.mSource,
                 PullMessage{ .mShard = aShard.mId,
                              .mInterval = aShard.mInterval,
@@ -114,7 +119,7 @@
 }
 
 void
-TransferDuty::OnTick(Shard& aShard)
+CopyTransfer::OnTick(Shard& aShard)
 {
   if (aShard.mFill && aShard.mFill->mNextResend <= mContext.mNow) {
     ++mContext.mCounters.mResent;
@@ -122,11 +127,11 @@
   }
 }
 
-// The copy handed out must not change between its parts. It doesn't: it is
-// served only for an interval in which this entry has not begun to serve, and
-// operations of earlier intervals are refused from then on.
+// The copy must not change between the parts of a transfer. This holds because
+// it is served only for an interval in which this entry has not begun to serve,
+// and operations of earlier intervals are rejected from then on.
 void
-TransferDuty::OnPull(MemberId aFrom, const PullMessage& aPull)
+CopyTransfer::OnPull(MemberId aFrom, const PullMessage& aPull)
 {
   Shard& shard = mContext.ShardAt(aPull.mShard);
   if (mContext.mEpoch < aPull.mInterval || shard.mServing) {
@@ -163,7 +168,7 @@
 }
 
 bool
-TransferDuty::OnChunk(MemberId aFrom, const ChunkMessage& aChunk)
+CopyTransfer::OnChunk(MemberId aFrom, const ChunkMessage& aChunk)
 {
   Shard& shard = mContext.ShardAt(aChunk.mShard);
   const bool expected = shard.mFill && shard.mFill->mSource == aFrom &&
@@ -174,7 +179,7 @@
   }
   ShardFill& fill = *shard.mFill;
   if (fill.mTarget && *fill.mTarget != aChunk.mTarget) {
-    // The source's copy moved on between two parts: begin again.
+    // The source's copy changed between two parts: restarts the fill.
     shard.mFill.reset();
     Start(shard, aFrom);
     return false;
@@ -190,7 +195,7 @@
 }
 
 void
-TransferDuty::Stage(Shard& aShard, const ChunkMessage& aChunk)
+CopyTransfer::Stage(Shard& aShard, const ChunkMessage& aChunk)
 {
   ShardFill& fill = *aShard.mFill;
   fill.mTarget = aChunk.mTarget;
@@ -202,7 +207,7 @@
 }
 
 void
-TransferDuty::Complete(Shard& aShard, const ChunkMessage& aLast)
+CopyTransfer::Complete(Shard& aShard, const ChunkMessage& aLast)
 {
   const HeldBytesGuard guard(mContext, aShard);
   const ShardFill fill = std::move(*aShard.mFill);
@@ -210,7 +215,7 @@
   if (aLast.mWhole) {
     aShard.mStore = RecordStore();
     aShard.mLog.Restart(aLast.mTarget);
-    ++mContext.mCounters.mWholeFills;
+    ++mContext.mCounters.mFullFills;
   } else {
     for (const LogEntry& entry : aLast.mLog) {
       aShard.mLog.Append(entry, mContext.mOptions.mLogEntries);
--- a/src/ledger/PeeringEpoch.cpp
+++ b/src/ledger/PeeringEpoch.cpp
@@ -1,4 +1,4 @@
-#include "ledger/PeeringDuty.h"
+#include "ledger/PeeringManager.h"
 
 #include <algorithm>
 
@@ -6,13 +6,16 @@
 
 namespace {
 
-/** Past sets remembered for each shard; beyond it all members are asked. */
+/**
+ * Maximum number of past replica sets retained for each shard. If there are
+ * more, all members are queried.
+ */
 constexpr std::size_t kMaxLaterSets = 32;
 
 } // namespace
 
 void
-PeeringDuty::OnEpoch(const membership::EpochMap& aMap)
+PeeringManager::OnEpoch(const membership::EpochMap& aMap)
 {
   const EpochNumber oldEpoch = mContext.mEpoch;
   const bool contiguous = oldEpoch.IsSet() && aMap.mEpoch == oldEpoch.Next();
@@ -39,21 +42,22 @@
       continue;
     }
     if (!same && oldEpoch.IsSet()) {
-      NotePast(shard, shard.mSet, oldEpoch, contiguous);
+      RecordPastSet(shard, shard.mSet, oldEpoch, contiguous);
     }
     shard.mSet = set;
     BeginInterval(shard, aMap.mEpoch);
   }
 }
 
-// A primary may only go on without asking somebody if that one surely never
-// went active in between, so each copy carries the list of sets that were in
-// charge after it; a primary that has just joined learns them from the copies.
+// A primary may skip a member's report only if that member was certainly never
+// activated in between. Each copy therefore carries the list of replica sets
+// that followed it, and a primary that has just joined learns the sets from the
+// copies.
 void
-PeeringDuty::NotePast(Shard& aShard,
-                      const std::vector<MemberId>& aOldSet,
-                      EpochNumber aOldEpoch,
-                      bool aContiguous)
+PeeringManager::RecordPastSet(Shard& aShard,
+                              const std::vector<MemberId>& aOldSet,
+                              EpochNumber aOldEpoch,
+                              bool aContiguous)
 {
   const bool anyLeft =
     std::any_of(aOldSet.begin(), aOldSet.end(), [&](MemberId aMember) {
@@ -65,44 +69,46 @@
   if (!aShard.HoldsCopy()) {
     return;
   }
-  aShard.mLaterIsWhole = aShard.mLaterIsWhole && aContiguous;
+  aShard.mLaterIsComplete = aShard.mLaterIsComplete && aContiguous;
   if (aShard.mInterval > aShard.mActivated && !aOldSet.empty()) {
     aShard.mLater.push_back(
       { .mEpoch = aShard.mInterval, .mMembers = aOldSet });
   }
   if (aShard.mLater.size() > kMaxLaterSets) {
     aShard.mLater.erase(aShard.mLater.begin());
-    aShard.mLaterIsWhole = false;
+    aShard.mLaterIsComplete = false;
   }
 }
 
 void
-PeeringDuty::BeginInterval(Shard& aShard, EpochNumber aEpoch)
+PeeringManager::BeginInterval(Shard& aShard, EpochNumber aEpoch)
 {
   std::vector<WaitingOperation> waiting = std::move(aShard.mQueue.mWaiting);
   aShard.mInterval = aEpoch;
   aShard.mServing = false;
   aShard.mRound.reset();
   aShard.mFill.reset();
-  aShard.mEarly.clear();
+  aShard.mOutOfOrder.clear();
   aShard.mQueue = PrimaryQueue();
   const MemberId primary = aShard.Primary();
   if (primary == mContext.mSelf) {
     aShard.mQueue.mWaiting = std::move(waiting);
     aShard.mRound = PeeringRound();
-    aShard.mRound->mNextResend = mContext.mNow + mContext.mOptions.mResendAfter;
+    aShard.mRound->mNextResend =
+      mContext.mNow + mContext.mOptions.mResendInterval;
     aShard.mRound->mReports[mContext.mSelf] = ReportOf(aShard, mContext.mNow);
-    AskLikelyHolders(aShard);
+    QueryLikelyHolders(aShard);
     if (!aShard.HoldsCopy()) {
-      AskAll(aShard);
+      QueryAll(aShard);
     }
     TryChoose(aShard);
   } else if (aShard.HoldsCopy() && primary.IsSet()) {
-    // Unasked: saves a new primary half a round trip, and tells one that has
-    // just joined of a copy that it can't know of.
+    // Sends the report without a query. This saves a new primary half a round
+    // trip, and informs one that has just joined of a copy that it cannot know
+    // about.
     mContext.mOutbox.mReports[primary].mReports.push_back(
       ReportOf(aShard, mContext.mNow));
-    aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverRepeat;
+    aShard.mNextLeftover = mContext.mNow + mContext.mOptions.mLeftoverInterval;
   }
 }
 
--- a/src/ledger/RecordRules.cpp
+++ b/src/ledger/RecordRules.cpp
@@ -8,19 +8,22 @@
 
 namespace {
 
-/** How often one key may be refused and begin again while it is kept. */
+/**
+ * Maximum number of times that one key may be refused and accepted again while
+ * its record is retained.
+ */
 constexpr std::size_t kMaxRefusedAccepts = 16;
 
-constexpr Judgement kChange{ .mVerdict = Verdict::kDone, .mChanges = true };
-constexpr Judgement kRepeated{ .mVerdict = Verdict::kDone, .mChanges = false };
+constexpr RuleResult kChange{ .mVerdict = Verdict::kDone, .mChanges = true };
+constexpr RuleResult kRepeated{ .mVerdict = Verdict::kDone, .mChanges = false };
 
-Judgement
+RuleResult
 Refuse(Verdict aVerdict)
 {
   return { .mVerdict = aVerdict, .mChanges = false };
 }
 
-// Priorities are left out: they come from the settings, which may change
+// Priorities are not compared: they come from the settings, which may change
 // between a request and its retry.
 bool
 SameTerms(const RequestTerms& aLeft, const RequestTerms& aRight)
@@ -29,11 +32,12 @@
          aLeft.mIdempotent == aRight.mIdempotent && aLeft.mBody == aRight.mBody;
 }
 
-// A caller that was told when to come back does so with the same key. What was
-// refused surely did not run, so the key may begin again; but not by a late
-// duplicate of the accept that was refused: nobody waits for that any more.
+// A caller retries a refused request with the same key after the indicated
+// delay. A refused request certainly did not run, so it may be accepted again,
+// but not by a late duplicate of the refused accept: no caller waits for that
+// answer any more.
 bool
-BeginsAgain(const StoredRecord& aStored, const Origin& aOrigin)
+MayRestart(const StoredRecord& aStored, const Origin& aOrigin)
 {
   const std::vector<Origin>& refused = aStored.mRefusedAccepts;
   return aStored.mRecord.mOutcome &&
@@ -42,10 +46,10 @@
          std::find(refused.begin(), refused.end(), aOrigin) == refused.end();
 }
 
-Judgement
-JudgeAccept(const StoredRecord& aStored,
-            const AcceptOperation& aAccept,
-            const Origin& aOrigin)
+RuleResult
+EvaluateAccept(const StoredRecord& aStored,
+               const AcceptOperation& aAccept,
+               const Origin& aOrigin)
 {
   if (aStored.mForgotten) {
     return Refuse(Verdict::kFinished);
@@ -56,11 +60,11 @@
   if (aStored.mAccepted == aOrigin) {
     return kRepeated;
   }
-  return BeginsAgain(aStored, aOrigin) ? kChange : Refuse(Verdict::kKnown);
+  return MayRestart(aStored, aOrigin) ? kChange : Refuse(Verdict::kKnown);
 }
 
-Judgement
-JudgeIntend(const RequestRecord& aRecord, const IntendOperation& aIntend)
+RuleResult
+EvaluateIntend(const RequestRecord& aRecord, const IntendOperation& aIntend)
 {
   if (aRecord.mOutcome) {
     return Refuse(Verdict::kFinished);
@@ -75,8 +79,8 @@
   if (standing && !aRecord.mTerms.mIdempotent) {
     return Refuse(Verdict::kMayHaveRun);
   }
-  // A late duplicate of a voided intent must not stand again: nobody would
-  // void it a second time, and the request could never be sent.
+  // A late duplicate of a voided intent must not become standing again: it
+  // would never be voided a second time, and the request could never be sent.
   if (aRecord.mIntent &&
       aIntend.mIntent.mAttempt <= aRecord.mIntent->mAttempt) {
     return Refuse(Verdict::kOldTurn);
@@ -84,8 +88,8 @@
   return kChange;
 }
 
-Judgement
-JudgeVoid(const RequestRecord& aRecord, const VoidIntentOperation& aVoid)
+RuleResult
+EvaluateVoid(const RequestRecord& aRecord, const VoidIntentOperation& aVoid)
 {
   if (aRecord.mOutcome) {
     return Refuse(Verdict::kFinished);
@@ -101,8 +105,8 @@
   return current && !aRecord.mIntentVoid ? kChange : kRepeated;
 }
 
-Judgement
-JudgeFinish(const RequestRecord& aRecord, const FinishOperation& aFinish)
+RuleResult
+EvaluateFinish(const RequestRecord& aRecord, const FinishOperation& aFinish)
 {
   if (aRecord.mOutcome) {
     return *aRecord.mOutcome == aFinish.mOutcome ? kRepeated
@@ -118,8 +122,9 @@
   return kChange;
 }
 
-Judgement
-JudgeTakeOver(const RequestRecord& aRecord, const TakeOverOperation& aTakeOver)
+RuleResult
+EvaluateTakeOver(const RequestRecord& aRecord,
+                 const TakeOverOperation& aTakeOver)
 {
   if (aRecord.mOutcome) {
     return Refuse(Verdict::kFinished);
@@ -133,8 +138,8 @@
   return repeated ? kRepeated : Refuse(Verdict::kOldTurn);
 }
 
-Judgement
-JudgeCancel(const RequestRecord& aRecord)
+RuleResult
+EvaluateCancel(const RequestRecord& aRecord)
 {
   if (!aRecord.mOutcome) {
     return kChange;
@@ -144,8 +149,8 @@
            : Refuse(Verdict::kFinished);
 }
 
-Judgement
-JudgeForget(const StoredRecord& aStored, const ForgetOperation& aForget)
+RuleResult
+EvaluateForget(const StoredRecord& aStored, const ForgetOperation& aForget)
 {
   if (!aStored.mRecord.mOutcome) {
     return Refuse(Verdict::kKnown);
@@ -153,8 +158,8 @@
   return aForget.mExpired || !aStored.mForgotten ? kChange : kRepeated;
 }
 
-Judgement
-JudgeUnknown(const Operation& aOperation)
+RuleResult
+EvaluateUnknown(const Operation& aOperation)
 {
   if (std::holds_alternative<AcceptOperation>(aOperation)) {
     return kChange;
@@ -180,8 +185,8 @@
 Void(RequestRecord& aRecord, const VoidIntentOperation& aVoid)
 {
   if (!aRecord.mIntent || aRecord.mIntent->mAttempt != aVoid.mAttempt) {
-    // The intent's own message is still under way, or lost: this marker turns
-    // it down should it arrive yet.
+    // The message with the intent is still in transit, or lost. This marker
+    // causes the intent to be rejected if it arrives later.
     aRecord.mIntent = DispatchIntent{ .mAttempt = aVoid.mAttempt,
                                       .mUpstream = UpstreamName(),
                                       .mIncarnation = Incarnation() };
@@ -197,41 +202,41 @@
   return aRecord.mIntent.has_value() && !aRecord.mIntentVoid;
 }
 
-Judgement
-Judge(const StoredRecord* aRecord,
-      const Operation& aOperation,
-      const Origin& aOrigin)
+RuleResult
+EvaluateOperation(const StoredRecord* aRecord,
+                  const Operation& aOperation,
+                  const Origin& aOrigin)
 {
   if (aRecord == nullptr) {
-    return JudgeUnknown(aOperation);
+    return EvaluateUnknown(aOperation);
   }
   const RequestRecord& record = aRecord->mRecord;
   return std::visit(
     Overloaded{ [&](const AcceptOperation& aAccept) {
-                 return JudgeAccept(*aRecord, aAccept, aOrigin);
+                 return EvaluateAccept(*aRecord, aAccept, aOrigin);
                },
                 [&](const IntendOperation& aIntend) {
-                  return JudgeIntend(record, aIntend);
+                  return EvaluateIntend(record, aIntend);
                 },
                 [&](const VoidIntentOperation& aVoid) {
-                  return JudgeVoid(record, aVoid);
+                  return EvaluateVoid(record, aVoid);
                 },
                 [&](const FinishOperation& aFinish) {
-                  return JudgeFinish(record, aFinish);
+                  return EvaluateFinish(record, aFinish);
                 },
                 [&](const TakeOverOperation& aTakeOver) {
-                  return JudgeTakeOver(record, aTakeOver);
+                  return EvaluateTakeOver(record, aTakeOver);
                 },
-                [&](const CancelOperation&) { return JudgeCancel(record); },
+                [&](const CancelOperation&) { return EvaluateCancel(record); },
                 [&](const ForgetOperation& aForget) {
-                  return JudgeForget(*aRecord, aForget);
+                  return EvaluateForget(*aRecord, aForget);
                 },
                 [&](const ReadOperation&) { return kRepeated; } },
     aOperation);
 }
 
 void
-Change(RequestRecord& aRecord, const Operation& aOperation)
+ApplyChange(RequestRecord& aRecord, const Operation& aOperation)
 {
   std::visit(
     Overloaded{ [&](const IntendOperation& aIntend) {
--- a/src/ledger/RecordStore.cpp
+++ b/src/ledger/RecordStore.cpp
@@ -6,9 +6,15 @@
 
 namespace {
 
-/** A tree node's pointers and colour, with the allocator's own word. */
+/**
+ * Size of a tree node's pointers and colour plus one word of allocator
+ * overhead.
+ */
 constexpr std::uint64_t kNodeBytes = 48;
-/** What a record costs beside its texts: the fields and two tree nodes. */
+/**
+ * Memory used by a record in addition to its texts: the fields and two tree
+ * nodes.
+ */
 constexpr std::uint64_t kRecordOverhead =
   sizeof(StoredRecord) + sizeof(RequestKey) + kNodeBytes + kNodeBytes;
 
@@ -76,11 +82,11 @@
     DropTexts(stored.mRecord);
     stored.mForgotten = true;
   }
-  Change(stored.mRecord, aOperation);
+  ApplyChange(stored.mRecord, aOperation);
   if (!wasFinished && stored.mRecord.mOutcome) {
     stored.mAlarm = aNow + aOptions.mRetention;
   } else if (std::holds_alternative<TakeOverOperation>(aOperation)) {
-    // The announcements of the executor before have reached their end.
+    // The announcements of the previous executor are no longer needed.
     stored.mAlarm = stored.mDeadline + aOptions.mDeadlineGrace;
   }
   Link(stored, aOptions);
@@ -100,7 +106,7 @@
   stored.mRecord.mExecutorTurn = AttemptNumber(1);
   const auto before = mRecords.find(aKey);
   if (before != mRecords.end()) {
-    BeginAgain(before->second, stored);
+    RestartRefused(before->second, stored);
   }
   stored.mAccepted = aOrigin;
   stored.mDeadline = aNow + aAccept.mRemaining;
@@ -109,11 +115,11 @@
 }
 
 void
-RecordStore::BeginAgain(const StoredRecord& aRefused, StoredRecord& aFresh)
+RecordStore::RestartRefused(const StoredRecord& aRefused, StoredRecord& aFresh)
 {
   Unlink(aRefused);
-  // The next turn, so that whatever the refused one's executor still sends is
-  // turned down.
+  // Uses the next turn, so that late operations of the refused request's
+  // executor are rejected.
   aFresh.mRecord.mExecutorTurn = aRefused.mRecord.mExecutorTurn.Next();
   aFresh.mRefusedAccepts = aRefused.mRefusedAccepts;
   aFresh.mRefusedAccepts.push_back(aRefused.mAccepted);
@@ -161,7 +167,7 @@
 }
 
 void
-RecordStore::Announced(const RequestKey& aKey)
+RecordStore::MarkAnnounced(const RequestKey& aKey)
 {
   const auto found = mRecords.find(aKey);
   if (found != mRecords.end()) {
--- a/src/ledger/PrimaryDuty.cpp
+++ b/src/ledger/ShardPrimary.cpp
@@ -1,4 +1,4 @@
-#include "ledger/PrimaryDuty.h"
+#include "ledger/ShardPrimary.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,10 +7,13 @@
 
 namespace {
 
-/** Most operations sent again to one replica at once. */
+/** Maximum number of operations resent to one replica at once. */
 constexpr std::uint64_t kResendBatch = 64;
 
-/** Returns the record for an answer, without texts that the asker has. */
+/**
+ * Returns the record for an answer, without the texts that the requester
+ * already has.
+ */
 RequestRecord
 RecordForAnswer(const RequestRecord& aRecord,
                 const Operation& aOperation,
@@ -40,7 +43,7 @@
   return lean;
 }
 
-/** Returns how far the log is committed, given the replicas' progress. */
+/** Returns the last committed log position, given the replicas' progress. */
 SequenceNumber
 CommittedBy(const PrimaryQueue& aQueue, CommitRule aRule, SequenceNumber aLast)
 {
@@ -58,14 +61,14 @@
 
 } // namespace
 
-PrimaryDuty::PrimaryDuty(LedgerContext& aContext, AnswerSink aLocalAnswer)
+ShardPrimary::ShardPrimary(LedgerContext& aContext, AnswerSink aLocalAnswer)
   : mContext(aContext)
   , mLocalAnswer(std::move(aLocalAnswer))
 {
 }
 
 void
-PrimaryDuty::Propose(Shard& aShard, WaitingOperation aOperation)
+ShardPrimary::Propose(Shard& aShard, WaitingOperation aOperation)
 {
   PrimaryQueue& queue = aShard.mQueue;
   if (aShard.Primary() != mContext.mSelf ||
@@ -84,38 +87,40 @@
     }
     return;
   }
-  // A silent replica must not make the primary hold ever more: beyond the
-  // bound the asker's own resend brings the operation again.
+  // An unresponsive replica must not make the primary's queue grow without
+  // limit. Operations beyond the limit are dropped; the requester resends them.
   if (queue.mPending.size() < mContext.mOptions.mMaxPending) {
-    Append(aShard, aOperation, JudgeHere(aShard, aOperation));
+    Append(aShard, aOperation, EvaluateAtPrimary(aShard, aOperation));
   }
 }
 
-Judgement
-PrimaryDuty::JudgeHere(const Shard& aShard, const WaitingOperation& aOperation)
+RuleResult
+ShardPrimary::EvaluateAtPrimary(const Shard& aShard,
+                                const WaitingOperation& aOperation)
 {
   const StoredRecord* stored = aShard.mStore.Find(aOperation.mKey);
-  Judgement judgement =
-    Judge(stored, aOperation.mOperation, aOperation.mOrigin);
+  RuleResult result =
+    EvaluateOperation(stored, aOperation.mOperation, aOperation.mOrigin);
   const bool mayBeLost = mContext.mNow < aShard.mLossUntil;
   const auto* accept = std::get_if<AcceptOperation>(&aOperation.mOperation);
   if (stored != nullptr) {
-    // A refused key may begin again, but the copy that says "refused" may be
-    // older than a lost beginning, which may have run.
+    // A refused request may be accepted again, but the copy that says "refused"
+    // may predate a later accept that was lost and may have run.
     const bool runsAgain =
-      accept != nullptr && judgement.mChanges && !accept->mTerms.mIdempotent;
-    return mayBeLost && runsAgain ? Judgement{ .mVerdict = Verdict::kLost }
-                                  : judgement;
+      accept != nullptr && result.mChanges && !accept->mTerms.mIdempotent;
+    return mayBeLost && runsAgain ? RuleResult{ .mVerdict = Verdict::kLost }
+                                  : result;
   }
   if (accept == nullptr) {
-    if (mayBeLost && judgement.mVerdict == Verdict::kNoSuchRequest) {
-      judgement.mVerdict = Verdict::kLost;
+    if (mayBeLost && result.mVerdict == Verdict::kNoSuchRequest) {
+      result.mVerdict = Verdict::kLost;
     }
-    return judgement;
+    return result;
   }
-  // After a loss an unknown key may name a request that has run already. To
-  // run one that may not run twice "as if new" would break at most once, so
-  // it is refused for as long as an earlier life of the key could matter.
+  // After a loss, an unknown key may belong to a request that has already run.
+  // Running a non-idempotent request as a new one would violate at-most-once
+  // execution, so it is rejected for as long as an earlier request with the key
+  // could matter.
   if (mayBeLost && !accept->mTerms.mIdempotent && !accept->mKeyIsNew) {
     return { .mVerdict = Verdict::kLost, .mChanges = false };
   }
@@ -123,13 +128,13 @@
     ++mContext.mCounters.mFull;
     return { .mVerdict = Verdict::kFull, .mChanges = false };
   }
-  return judgement;
+  return result;
 }
 
 bool
-PrimaryDuty::IsFull(const Shard& aShard,
-                    const RequestKey& aKey,
-                    const AcceptOperation& aAccept) const
+ShardPrimary::IsFull(const Shard& aShard,
+                     const RequestKey& aKey,
+                     const AcceptOperation& aAccept) const
 {
   std::uint64_t held = mContext.mHeldBytes;
   for (const MemberId member : aShard.mSet) {
@@ -144,23 +149,23 @@
          mContext.mOptions.mMaxBytes;
 }
 
-// An operation that changes nothing takes a place in the log all the same: its
-// answer rests on what is in the log before it, and a primary that was cut off
-// must not answer from a state that others have left behind.
+// An operation that changes nothing also gets a position in the log: its answer
+// depends on the preceding entries, and a primary that was cut off must not
+// answer from a state that the other replicas have superseded.
 void
-PrimaryDuty::Append(Shard& aShard,
-                    const WaitingOperation& aOperation,
-                    const Judgement& aJudgement)
+ShardPrimary::Append(Shard& aShard,
+                     const WaitingOperation& aOperation,
+                     const RuleResult& aResult)
 {
   PendingOperation pending;
   pending.mSequence = aShard.mLog.Last().mSequence.Next();
   pending.mKey = aOperation.mKey;
   pending.mOrigin = aOperation.mOrigin;
-  pending.mAnswer.mVerdict = aJudgement.mVerdict;
+  pending.mAnswer.mVerdict = aResult.mVerdict;
   LogEntry entry{ .mVersion = { .mInterval = aShard.mInterval,
                                 .mSequence = pending.mSequence },
                   .mKey = std::nullopt };
-  if (aJudgement.mChanges) {
+  if (aResult.mChanges) {
     pending.mOperation = aOperation.mOperation;
     entry.mKey = aOperation.mKey;
     const HeldBytesGuard guard(mContext, aShard);
@@ -175,13 +180,13 @@
   }
   aShard.mLog.Append(std::move(entry), mContext.mOptions.mLogEntries);
   if (const StoredRecord* stored = aShard.mStore.Find(aOperation.mKey)) {
-    pending.mAnswer.mRecord = RecordForAnswer(
-      stored->mRecord, aOperation.mOperation, aJudgement.mVerdict);
+    pending.mAnswer.mRecord =
+      RecordForAnswer(stored->mRecord, aOperation.mOperation, aResult.mVerdict);
     pending.mDeadline = stored->mDeadline;
   }
   for (auto& [member, progress] : aShard.mQueue.mReplicas) {
     if (progress.mAcked.Next() == pending.mSequence) {
-      progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendAfter;
+      progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendInterval;
     }
     Replicate(aShard, member, pending);
   }
@@ -193,9 +198,9 @@
 }
 
 void
-PrimaryDuty::Replicate(const Shard& aShard,
-                       MemberId aTo,
-                       const PendingOperation& aPending)
+ShardPrimary::Replicate(const Shard& aShard,
+                        MemberId aTo,
+                        const PendingOperation& aPending)
 {
   mContext.Send(aTo,
                 ReplicateMessage{ .mShard = aShard.mId,
@@ -207,7 +212,7 @@
 }
 
 void
-PrimaryDuty::OnAck(MemberId aFrom, const AckMessage& aAck)
+ShardPrimary::OnAck(MemberId aFrom, const AckMessage& aAck)
 {
   mContext.mPeerBytes[aFrom] = aAck.mHeldBytes;
   Shard& shard = mContext.ShardAt(aAck.mShard);
@@ -221,13 +226,13 @@
     aAck.mLast > progress.mAcked && aAck.mLast <= shard.mLog.Last().mSequence;
   if (isProgress) {
     progress.mAcked = aAck.mLast;
-    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendAfter;
+    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendInterval;
     Commit(shard);
   }
 }
 
 void
-PrimaryDuty::Commit(Shard& aShard)
+ShardPrimary::Commit(Shard& aShard)
 {
   PrimaryQueue& queue = aShard.mQueue;
   const SequenceNumber last = aShard.mLog.Last().mSequence;
@@ -248,7 +253,7 @@
 }
 
 void
-PrimaryDuty::Answer(Shard& aShard, PendingOperation& aPending)
+ShardPrimary::Answer(Shard& aShard, PendingOperation& aPending)
 {
   ++mContext.mCounters.mCommitted;
   if (!aPending.mOrigin.mCall.IsSet()) {
@@ -270,7 +275,7 @@
 }
 
 void
-PrimaryDuty::Serve(Shard& aShard)
+ShardPrimary::Serve(Shard& aShard)
 {
   PrimaryQueue& queue = aShard.mQueue;
   std::vector<WaitingOperation> waiting = std::move(queue.mWaiting);
@@ -291,7 +296,7 @@
 }
 
 void
-PrimaryDuty::OnTick(Shard& aShard)
+ShardPrimary::OnTick(Shard& aShard)
 {
   if (aShard.mServing) {
     Resend(aShard);
@@ -301,7 +306,7 @@
 }
 
 void
-PrimaryDuty::Resend(Shard& aShard)
+ShardPrimary::Resend(Shard& aShard)
 {
   PrimaryQueue& queue = aShard.mQueue;
   if (queue.mPending.empty()) {
@@ -320,7 +325,7 @@
       Replicate(aShard, member, queue.mPending[next - first + i]);
     }
     mContext.mCounters.mResent += count;
-    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendAfter;
+    progress.mRetryAt = mContext.mNow + mContext.mOptions.mResendInterval;
   }
 }
 
--- a/src/ledger/ReplicaDuty.cpp
+++ b/src/ledger/ShardReplica.cpp
@@ -1,24 +1,27 @@
-#include "ledger/ReplicaDuty.h"
+#include "ledger/ShardReplica.h"
 
 namespace peridotspool::ledger {
 
 namespace {
 
-/** Most operations of one shard kept until an earlier one comes. */
-constexpr std::size_t kMaxEarly = 256;
+/**
+ * Maximum number of out-of-order operations of one shard that are held until an
+ * earlier one arrives.
+ */
+constexpr std::size_t kMaxOutOfOrder = 256;
 
 } // namespace
 
-ReplicaDuty::ReplicaDuty(LedgerContext& aContext)
+ShardReplica::ShardReplica(LedgerContext& aContext)
   : mContext(aContext)
 {
 }
 
-// A primary that was cut off, or slept, still sends under its old interval. It
-// must get no acknowledgement, or it would tell callers of commits that the
-// present primary knows nothing of.
+// A primary that was cut off or suspended may still send under its old
+// interval. It must not receive an acknowledgement, or it would report commits
+// to callers that the present primary does not know about.
 void
-ReplicaDuty::OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate)
+ShardReplica::OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate)
 {
   Shard& shard = mContext.ShardAt(aReplicate.mShard);
   if (aReplicate.mInterval < shard.mInterval) {
@@ -33,18 +36,19 @@
     return;
   }
   const SequenceNumber next = shard.mLog.Last().mSequence.Next();
-  if (aReplicate.mSequence > next && shard.mEarly.size() < kMaxEarly) {
-    shard.mEarly.emplace(aReplicate.mSequence, aReplicate);
+  if (aReplicate.mSequence > next &&
+      shard.mOutOfOrder.size() < kMaxOutOfOrder) {
+    shard.mOutOfOrder.emplace(aReplicate.mSequence, aReplicate);
   }
   if (aReplicate.mSequence == next) {
     Apply(shard, aReplicate);
-    auto early = shard.mEarly.begin();
-    while (early != shard.mEarly.end() &&
+    auto early = shard.mOutOfOrder.begin();
+    while (early != shard.mOutOfOrder.end() &&
            early->first <= shard.mLog.Last().mSequence.Next()) {
       if (early->first == shard.mLog.Last().mSequence.Next()) {
         Apply(shard, early->second);
       }
-      early = shard.mEarly.erase(early);
+      early = shard.mOutOfOrder.erase(early);
     }
   }
   mContext.Send(aFrom,
@@ -55,7 +59,7 @@
 }
 
 void
-ReplicaDuty::Apply(Shard& aShard, const ReplicateMessage& aReplicate)
+ShardReplica::Apply(Shard& aShard, const ReplicateMessage& aReplicate)
 {
   LogEntry entry{ .mVersion = { .mInterval = aReplicate.mInterval,
                                 .mSequence = aReplicate.mSequence },
--- a/src/ledger/ReplicaDuty.h
+++ b/src/ledger/ShardReplica.h
@@ -4,11 +4,14 @@
 
 namespace peridotspool::ledger {
 
-/** Applies what a shard's primary replicates, in order, and acknowledges it. */
-class ReplicaDuty
+/**
+ * Applies the operations replicated by a shard's primary, in order, and
+ * acknowledges them.
+ */
+class ShardReplica
 {
 public:
-  explicit ReplicaDuty(LedgerContext& aContext);
+  explicit ShardReplica(LedgerContext& aContext);
 
   void OnReplicate(MemberId aFrom, const ReplicateMessage& aReplicate);
 
--- a/src/membership/EntryDirectory.cpp
+++ b/src/membership/EntryDirectory.cpp
@@ -8,10 +8,13 @@
 
 namespace {
 
-/** An answer must be asked for anew well before a reclaimed entry is gone. */
-constexpr std::int64_t kNoticeShare = 3;
+/**
+ * The lifetime of a response is the reclaim notice divided by this. A cached
+ * response must expire well before a reclaimed entry stops.
+ */
+constexpr std::int64_t kResponsesPerNotice = 3;
 
-/** A candidate in the order of preference; the lowest key comes first. */
+/** A candidate with its sort key; lower keys are preferred. */
 struct Ranked
 {
   const Member* mMember = nullptr;
@@ -19,7 +22,10 @@
   double mKey = 0.0;
 };
 
-/** Moves entries so that neighbours stand in different domains if possible. */
+/**
+ * Reorders entries within a region so that adjacent ones are in different
+ * failure domains where possible.
+ */
 std::vector<const Member*>
 SpreadDomains(std::vector<const Member*> aOrdered)
 {
@@ -46,7 +52,7 @@
 }
 
 void
-EntryDirectory::TakeEpoch(const EpochMap& aMap)
+EntryDirectory::SetEpoch(const EpochMap& aMap)
 {
   if (aMap.mEpoch <= mMap.mEpoch) {
     return;
@@ -63,19 +69,19 @@
 }
 
 void
-EntryDirectory::TakeSuspects(std::set<MemberId> aSuspects)
+EntryDirectory::SetSuspects(std::set<MemberId> aSuspects)
 {
   mSuspects = std::move(aSuspects);
 }
 
 void
-EntryDirectory::TakeWeight(MemberId aMember, double aWeight)
+EntryDirectory::SetEntryWeight(MemberId aMember, double aWeight)
 {
   mWeights[aMember] = aWeight;
 }
 
 void
-EntryDirectory::TakeLeaving(MemberId aMember)
+EntryDirectory::MarkLeaving(MemberId aMember)
 {
   mLeaving.insert(aMember);
 }
@@ -95,13 +101,13 @@
       healthy.push_back(&member);
     }
   }
-  // When everybody is suspected, it is this entry that is cut off; an empty
-  // answer would send its callers nowhere.
+  // If all entries are suspected, this entry itself is most likely partitioned.
+  // An empty response would leave its callers without any entry.
   return healthy.empty() ? active : healthy;
 }
 
-// Drawing by exponential keys picks each entry first in proportion to its
-// weight (weighted sampling without replacement).
+// Weighted sampling without replacement: with exponentially distributed keys,
+// the probability that an entry comes first is proportional to its weight.
 double
 EntryDirectory::Key(MemberId aMember)
 {
@@ -113,8 +119,8 @@
   return -std::log(uniform) / weight;
 }
 
-DirectoryAnswer
-EntryDirectory::Answer(const Region& aRegion)
+DirectoryResponse
+EntryDirectory::MakeResponse(const Region& aRegion)
 {
   std::vector<Ranked> ranked;
   for (const Member* member : Candidates()) {
@@ -134,14 +140,14 @@
   for (std::size_t at = 0; at < count; ++at) {
     chosen.push_back(ranked[at].mMember);
   }
-  DirectoryAnswer answer{ .mEpoch = mMap.mEpoch,
-                          .mAddresses = {},
-                          .mTimeToKeep =
-                            mOptions.mShortestNotice / kNoticeShare };
+  DirectoryResponse response{ .mEpoch = mMap.mEpoch,
+                              .mAddresses = {},
+                              .mMaxAge = mOptions.mMinReclaimNotice /
+                                         kResponsesPerNotice };
   for (const Member* member : SpreadDomains(std::move(chosen))) {
-    answer.mAddresses.push_back(member->mCallerAddress);
+    response.mAddresses.push_back(member->mCallerAddress);
   }
-  return answer;
+  return response;
 }
 
 } // namespace peridotspool::membership
--- a/src/membership/UpstreamRegistry.cpp
+++ b/src/membership/UpstreamRegistry.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Returns true iff subscribers have to hear of the difference. */
+/** Returns true iff the report changes what subscribers need to know. */
 bool
-Differs(const RegistryRow& aRow, const UpstreamReport& aReport)
+NeedsPush(const RegistryRow& aRow, const UpstreamReport& aReport)
 {
   UpstreamReport known = aRow.mReport;
   known.mSequence = aReport.mSequence;
@@ -31,48 +31,51 @@
 }
 
 void
-UpstreamRegistry::Change(Row& aRow)
+UpstreamRegistry::MarkChanged(Row& aRow)
 {
   if (aRow.mVersion != 0) {
     mByVersion.erase(aRow.mVersion);
-    aRow.mTold = true;
+    aRow.mPreviouslyPushed = true;
   }
   aRow.mVersion = ++mVersion;
   mByVersion.emplace(aRow.mVersion, aRow.mRow.mReport.mName);
 }
 
-// Of an upstream that leaves only that is told: all else was told before.
+// For an upstream that is leaving, only the stage and the sequence number are
+// sent if the complete row was published before.
 RegistryRow
-UpstreamRegistry::Told(const Row& aRow, TimePoint aNow)
+UpstreamRegistry::MakePushRow(const Row& aRow, TimePoint aNow)
 {
-  RegistryRow told = aRow.mRow;
+  RegistryRow row = aRow.mRow;
   const UpstreamReport& report = aRow.mRow.mReport;
-  if (report.mStage != UpstreamStage::kReady && aRow.mTold) {
-    told.mReport = { .mName = report.mName,
-                     .mIncarnation = report.mIncarnation,
-                     .mStage = report.mStage,
-                     .mSequence = report.mSequence };
+  if (report.mStage != UpstreamStage::kReady && aRow.mPreviouslyPushed) {
+    row.mReport = { .mName = report.mName,
+                    .mIncarnation = report.mIncarnation,
+                    .mStage = report.mStage,
+                    .mSequence = report.mSequence };
   }
-  told.mKnownForMs = Milliseconds(aNow - aRow.mKnownSince);
-  if (aRow.mGoodbyeAt) {
-    told.mGoodbyeAgeMs = Milliseconds(aNow - *aRow.mGoodbyeAt);
+  row.mIncarnationAgeMs = Milliseconds(aNow - aRow.mIncarnationSeenAt);
+  if (aRow.mDeregisteredAt) {
+    row.mDeregistrationAgeMs = Milliseconds(aNow - *aRow.mDeregisteredAt);
   }
-  return told;
+  return row;
 }
 
-// A heartbeat that was sent before the goodbye may arrive after it, and be the
-// first that is heard of its incarnation here.
+// A heartbeat that was sent before the deregistration may arrive after it, and
+// may be the first report of its incarnation at this registry.
 bool
-UpstreamRegistry::WasOvertaken(const Row& aRow, TimePoint aNow) const
+UpstreamRegistry::IsInLateHeartbeatWindow(const Row& aRow, TimePoint aNow) const
 {
-  return aRow.mGoodbyeAt && aNow - *aRow.mGoodbyeAt < mOptions.mLateReportFor;
+  return aRow.mDeregisteredAt &&
+         aNow - *aRow.mDeregisteredAt < mOptions.mLateHeartbeatWindow;
 }
 
-// A heartbeat may be delayed for seconds and arrive after one that said that
-// the upstream leaves. Taken as news it would bring work back to an upstream
-// that is about to exit; its lower sequence shows that it is old.
+// A heartbeat may be delayed for seconds and arrive after one that reported
+// that the upstream is leaving. If it were treated as current, requests would
+// again be sent to an upstream that is about to exit. Its lower sequence number
+// shows that it is outdated.
 std::vector<RegistrySend>
-UpstreamRegistry::TakeReport(UpstreamReport aReport, TimePoint aNow)
+UpstreamRegistry::HandleHeartbeat(UpstreamReport aReport, TimePoint aNow)
 {
   const auto found = mRows.find(aReport.mName);
   if (found == mRows.end()) {
@@ -81,9 +84,9 @@
     }
     Row& row = mRows[aReport.mName];
     row.mRow.mReport = std::move(aReport);
-    row.mHeardAt = aNow;
-    row.mKnownSince = aNow;
-    Change(row);
+    row.mLastContactAt = aNow;
+    row.mIncarnationSeenAt = aNow;
+    MarkChanged(row);
     return PushAll(aNow);
   }
   Row& row = found->second;
@@ -92,51 +95,55 @@
     return {};
   }
   if (aReport.mIncarnation > known.mIncarnation) {
-    return Replace(row, std::move(aReport), aNow);
+    return ReplaceIncarnation(row, std::move(aReport), aNow);
   }
   if (known.mStage == UpstreamStage::kGone ||
       aReport.mSequence < known.mSequence) {
     return {};
   }
-  row.mHeardAt = aNow;
+  row.mLastContactAt = aNow;
   if (aReport.mStage < known.mStage) {
     aReport.mStage = known.mStage;
   }
-  const bool differs = Differs(row.mRow, aReport);
+  const bool needsPush = NeedsPush(row.mRow, aReport);
   row.mRow.mReport = std::move(aReport);
   row.mRow.mSilent = false;
-  if (!differs) {
+  if (!needsPush) {
     return {};
   }
-  Change(row);
+  MarkChanged(row);
   return PushAll(aNow);
 }
 
-// An upstream that crashed may start again under its name, with its heartbeats
-// counted anew. Compared by their numbers alone they would all look late, and
-// it would stay unheard, or gone, until it had sent as many as before. All that
-// was known of it ends with the incarnation that it was known of.
+// An upstream that crashed may restart under the same name, with sequence
+// numbers that start again. If only sequence numbers were compared, all its
+// heartbeats would look outdated, and it would remain silent or gone until it
+// had sent as many as before. The state of an upstream therefore ends with its
+// incarnation.
 std::vector<RegistrySend>
-UpstreamRegistry::Replace(Row& aRow, UpstreamReport aReport, TimePoint aNow)
+UpstreamRegistry::ReplaceIncarnation(Row& aRow,
+                                     UpstreamReport aReport,
+                                     TimePoint aNow)
 {
-  if (WasOvertaken(aRow, aNow)) {
+  if (IsInLateHeartbeatWindow(aRow, aNow)) {
     aReport.mStage = UpstreamStage::kGone;
   }
   aRow.mRow = { .mReport = std::move(aReport), .mSilent = false };
-  aRow.mHeardAt = aNow;
-  aRow.mKnownSince = aNow;
-  Change(aRow);
-  aRow.mTold = false;
+  aRow.mLastContactAt = aNow;
+  aRow.mIncarnationSeenAt = aNow;
+  MarkChanged(aRow);
+  aRow.mPreviouslyPushed = false;
   return PushAll(aNow);
 }
 
-// A goodbye that names no incarnation may be of one that only other registries
-// have heard of. Subscribers know from all of them since when each incarnation
-// is known, and find out by the goodbye's age which one it ends.
+// A deregistration that specifies no incarnation may refer to one that only
+// other registries know. Subscribers learn from all registries when each
+// incarnation was first reported, and use the age of the deregistration to
+// determine which one it ends.
 std::vector<RegistrySend>
-UpstreamRegistry::TakeGoodbye(const UpstreamName& aName,
-                              Incarnation aIncarnation,
-                              TimePoint aNow)
+UpstreamRegistry::HandleDeregistration(const UpstreamName& aName,
+                                       Incarnation aIncarnation,
+                                       TimePoint aNow)
 {
   const auto found = mRows.find(aName);
   if (found == mRows.end() && mRows.size() >= mOptions.mMaxRows) {
@@ -148,30 +155,31 @@
   if (aIncarnation.IsSet() && aIncarnation < report.mIncarnation) {
     return {};
   }
-  row.mHeardAt = aNow;
+  row.mLastContactAt = aNow;
   const bool isNewer = isNew || aIncarnation > report.mIncarnation;
   if (isNewer) {
     report.mName = aName;
     report.mIncarnation = aIncarnation;
-    row.mKnownSince = aNow;
+    row.mIncarnationSeenAt = aNow;
   }
-  const bool isRepeated = !isNewer && report.mStage == UpstreamStage::kGone &&
-                          (aIncarnation.IsSet() || WasOvertaken(row, aNow));
+  const bool isRepeated =
+    !isNewer && report.mStage == UpstreamStage::kGone &&
+    (aIncarnation.IsSet() || IsInLateHeartbeatWindow(row, aNow));
   if (isRepeated) {
     return {};
   }
   if (!aIncarnation.IsSet()) {
-    row.mGoodbyeAt = aNow;
+    row.mDeregisteredAt = aNow;
   }
   report.mStage = UpstreamStage::kGone;
-  Change(row);
+  MarkChanged(row);
   return PushAll(aNow);
 }
 
 std::vector<RegistrySend>
-UpstreamRegistry::TakePull(const Address& aFrom,
-                           const RegistryPull& aPull,
-                           TimePoint aNow)
+UpstreamRegistry::HandlePull(const Address& aFrom,
+                             const RegistryPull& aPull,
+                             TimePoint aNow)
 {
   const auto found = mSubscribers.find(aFrom);
   if (found == mSubscribers.end() &&
@@ -179,12 +187,14 @@
     return {};
   }
   Subscriber& subscriber = mSubscribers[aFrom];
-  subscriber.mHeardAt = aNow;
-  const std::uint64_t has = aPull.mLife == mOptions.mLife ? aPull.mVersion : 0;
+  subscriber.mLastPullAt = aNow;
+  const std::uint64_t has =
+    aPull.mRegistryIncarnation == mOptions.mRegistryIncarnation ? aPull.mVersion
+                                                                : 0;
   if (has > subscriber.mConfirmed) {
-    subscriber.mWaitsSince = aNow;
+    subscriber.mUnconfirmedSince = aNow;
   } else if (has < subscriber.mConfirmed || has == 0) {
-    // It has restarted, and knows less than it confirmed.
+    // The subscriber restarted and has an older version than it confirmed.
     subscriber.mPushed = has;
   }
   subscriber.mConfirmed = has;
@@ -196,21 +206,21 @@
 }
 
 bool
-UpstreamRegistry::FindSilent(TimePoint aNow)
+UpstreamRegistry::MarkSilentRows(TimePoint aNow)
 {
   bool changed = false;
   for (auto row = mRows.begin(); row != mRows.end();) {
-    const Duration quiet = aNow - row->second.mHeardAt;
-    if (quiet > mOptions.mForgetAfter) {
+    const Duration silence = aNow - row->second.mLastContactAt;
+    if (silence > mOptions.mForgetAfter) {
       mByVersion.erase(row->second.mVersion);
       row = mRows.erase(row);
       continue;
     }
     RegistryRow& shown = row->second.mRow;
     if (!shown.mSilent && shown.mReport.mStage != UpstreamStage::kGone &&
-        quiet > mOptions.mSilentAfter) {
+        silence > mOptions.mSilentAfter) {
       shown.mSilent = true;
-      Change(row->second);
+      MarkChanged(row->second);
       changed = true;
     }
     ++row;
@@ -221,11 +231,11 @@
 std::vector<RegistrySend>
 UpstreamRegistry::Tick(TimePoint aNow)
 {
-  if (aNow - mSweptAt >= mOptions.mSweepPeriod) {
-    mSweptAt = aNow;
-    FindSilent(aNow);
+  if (aNow - mLastSweepAt >= mOptions.mSweepPeriod) {
+    mLastSweepAt = aNow;
+    MarkSilentRows(aNow);
     std::erase_if(mSubscribers, [&](const auto& aPair) {
-      return aNow - aPair.second.mHeardAt > mOptions.mSubscriberTimeout;
+      return aNow - aPair.second.mLastPullAt > mOptions.mSubscriberTimeout;
     });
   }
   return PushAll(aNow);
@@ -235,26 +245,26 @@
 UpstreamRegistry::IsLost(const Subscriber& aSubscriber, TimePoint aNow) const
 {
   return aSubscriber.mPushed > aSubscriber.mConfirmed &&
-         aNow - aSubscriber.mWaitsSince >= mOptions.mResendAfter;
+         aNow - aSubscriber.mUnconfirmedSince >= mOptions.mResendAfter;
 }
 
-// Three hundred subscribers at a hundred pushes a second each would be more
-// than a replica can send; a few times a second is soon enough for all of them.
+// 300 subscribers with 100 pushes per second each would exceed what a replica
+// can send. A few pushes per second are sufficient for each of them.
 Duration
 UpstreamRegistry::Spacing() const
 {
   return std::max(mOptions.mSpacing,
-                  mOptions.mSpacingEach *
+                  mOptions.mSpacingPerSubscriber *
                     static_cast<Duration::rep>(mSubscribers.size()));
 }
 
-// When a hundred upstreams leave within a tenth of a second, a push for each of
-// them to each of a hundred entries takes a slow link for seconds, and the last
-// ones are told too late. A little spacing gathers them.
+// If 100 upstreams leave within 0.1 s, one push per upstream to each of 100
+// entries occupies a slow link for seconds, and the last entries are notified
+// too late. A small spacing combines the changes into fewer pushes.
 bool
 UpstreamRegistry::IsDue(const Subscriber& aSubscriber, TimePoint aNow) const
 {
-  const bool mayPush = aSubscriber.mQuick < mOptions.mMostQuick ||
+  const bool mayPush = aSubscriber.mBurstCount < mOptions.mMaxBurst ||
                        aNow - aSubscriber.mPushedAt >= Spacing();
   return (mayPush && aSubscriber.mPushed < mVersion) ||
          IsLost(aSubscriber, aNow);
@@ -272,34 +282,37 @@
   return sends;
 }
 
-// What was pushed a moment ago is taken to arrive, and only what is newer is
-// sent. A subscriber that missed something takes nothing that follows it, and
-// so confirms no more: then all from what it has confirmed is sent again.
+// An unconfirmed recent push is assumed to arrive, so only newer changes are
+// sent. A subscriber that missed a push rejects all later ones and its
+// confirmed version stops advancing. All changes since that version are sent
+// again after mResendAfter.
 RegistrySend
 UpstreamRegistry::Push(const Address& aTo,
                        Subscriber& aSubscriber,
                        TimePoint aNow)
 {
-  const bool waits = aSubscriber.mPushed > aSubscriber.mConfirmed;
+  const bool isUnconfirmed = aSubscriber.mPushed > aSubscriber.mConfirmed;
   const bool lost = IsLost(aSubscriber, aNow);
   const std::uint64_t from =
-    waits && !lost ? aSubscriber.mPushed : aSubscriber.mConfirmed;
-  if (!waits || lost) {
-    aSubscriber.mWaitsSince = aNow;
+    isUnconfirmed && !lost ? aSubscriber.mPushed : aSubscriber.mConfirmed;
+  if (!isUnconfirmed || lost) {
+    aSubscriber.mUnconfirmedSince = aNow;
   }
-  const Duration quiet = std::max(mOptions.mQuietAfter, 4 * Spacing());
-  const bool isQuick = aNow - aSubscriber.mPushedAt < quiet;
-  aSubscriber.mQuick = isQuick ? aSubscriber.mQuick + 1 : 0;
+  const Duration resetAfter =
+    std::max(mOptions.mBurstResetAfter, 4 * Spacing());
+  const bool isBurst = aNow - aSubscriber.mPushedAt < resetAfter;
+  aSubscriber.mBurstCount = isBurst ? aSubscriber.mBurstCount + 1 : 0;
   aSubscriber.mPushed = mVersion;
   aSubscriber.mPushedAt = aNow;
   RegistrySend send{ .mTo = aTo,
-                     .mPush = { .mLife = mOptions.mLife,
+                     .mPush = { .mRegistryIncarnation =
+                                  mOptions.mRegistryIncarnation,
                                 .mFrom = from,
                                 .mTo = mVersion,
                                 .mRows = {} } };
   for (auto place = mByVersion.upper_bound(from); place != mByVersion.end();
        ++place) {
-    send.mPush.mRows.push_back(Told(mRows.at(place->second), aNow));
+    send.mPush.mRows.push_back(MakePushRow(mRows.at(place->second), aNow));
   }
   return send;
 }
--- a/src/request/EntryCallers.cpp
+++ b/src/request/EntryCallers.cpp
@@ -1,17 +1,17 @@
-// What an entry does with its callers' events, by whether it may serve.
+// Handles the callers' events according to whether this entry may serve.
 
 #include "request/EntryNodeState.h"
 
 namespace peridotspool::request {
 
-template<typename Asked>
+template<typename CallerRequest>
 void
-EntryNodeState::PassOn(const Asked& aEvent)
+EntryNodeState::ForwardOrReject(const CallerRequest& aEvent)
 {
   if (mRequests) {
     StepRequests(aEvent);
   } else {
-    ReplyTo(aEvent.mExchange, NoAnswerReply{});
+    ReplyTo(aEvent.mExchange, StatusUnknownReply{});
   }
 }
 
@@ -33,10 +33,10 @@
     ReplyTo(aEvent.mExchange, MovedReply{});
     return;
   }
-  // An entry cut off from the control replicas may work by old settings; the
-  // caller is sent to another one at once.
+  // An entry without contact to the control replicas may have outdated
+  // settings, so the caller is sent to another entry at once.
   mEffects->emplace_back(CountEffect{ Tally::kRefusedNotConfirmed });
-  ReplyTo(aEvent.mExchange, NoAnswerReply{});
+  ReplyTo(aEvent.mExchange, StatusUnknownReply{});
 }
 
 void
@@ -47,26 +47,26 @@
   } else if (mLeaving) {
     ReplyTo(aEvent.mExchange, MovedReply{});
   } else {
-    ReplyTo(aEvent.mExchange, NoAnswerReply{});
+    ReplyTo(aEvent.mExchange, StatusUnknownReply{});
   }
 }
 
 void
 EntryNodeState::OnCaller(const CancelEvent& aEvent)
 {
-  PassOn(aEvent);
+  ForwardOrReject(aEvent);
 }
 
 void
 EntryNodeState::OnCaller(const AcknowledgeEvent& aEvent)
 {
-  PassOn(aEvent);
+  ForwardOrReject(aEvent);
 }
 
 void
 EntryNodeState::OnCaller(const ShowEvent& aEvent)
 {
-  PassOn(aEvent);
+  ForwardOrReject(aEvent);
 }
 
 void
--- a/src/request/EntryNodeState.cpp
+++ b/src/request/EntryNodeState.cpp
@@ -1,6 +1,6 @@
 #include "request/EntryNodeState.h"
 
-#include "peridotspool/routing/SpreadTargets.h"
+#include "peridotspool/routing/AnnouncementTargets.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,7 @@
   , mDirectory(mOptions.mDirectory)
   , mNow(aNow)
 {
-  BeginLife();
+  StartIncarnation();
 }
 
 EntryNodeEffects
@@ -29,10 +29,10 @@
 }
 
 void
-EntryNodeState::BeginLife()
+EntryNodeState::StartIncarnation()
 {
-  // Each life has a nonce of its own, so that messages to an earlier one, and
-  // the ledger copies that it lost, are never taken for this one's.
+  // Each incarnation has its own nonce, so that messages to an earlier one, and
+  // the ledger copies which that one lost, are never attributed to this one.
   mNonce = membership::EntryNonce(mRandom() | 1);
   membership::ControlSessionOptions session = mOptions.mSession;
   session.mNonce = mNonce;
@@ -41,14 +41,14 @@
   mLedger.reset();
   mRequests.reset();
   mDrainStarted = false;
-  mToldDone = false;
+  mDepartureReported = false;
 }
 
 void
 EntryNodeState::On(const FromMemberEvent& aEvent)
 {
-  // A message for an earlier life of this process would be acted upon by one
-  // that never held what the message is about.
+  // Ignores messages to an earlier incarnation of this process: this one never
+  // held the state that they refer to.
   if (!mSelf.IsSet() || aEvent.mTo != mSelf) {
     return;
   }
@@ -56,9 +56,9 @@
     StepLedger(ledger::MessageEvent{ aEvent.mFrom, *message });
   } else if (const auto* relay = std::get_if<RelayMessage>(&aEvent.mMessage)) {
     StepRequests(RelayEvent{ aEvent.mFrom, *relay });
-  } else if (const auto* news =
+  } else if (const auto* announcement =
                std::get_if<routing::UpstreamAnnouncement>(&aEvent.mMessage)) {
-    mRouter.Announce(*news, mNow);
+    mRouter.Announce(*announcement, mNow);
   }
 }
 
@@ -86,12 +86,12 @@
 EntryNodeState::On(const AnnouncedEvent& aEvent)
 {
   if (mRouter.Announce(aEvent.mAnnouncement, mNow)) {
-    SpreadAnnouncement(aEvent.mAnnouncement);
+    ForwardAnnouncement(aEvent.mAnnouncement);
   }
 }
 
 void
-EntryNodeState::On(const SettingsTakenEvent& aEvent)
+EntryNodeState::On(const SettingsAppliedEvent& aEvent)
 {
   mTree = aEvent.mTree;
   StepRequests(SettingsEvent{ mTree });
@@ -109,7 +109,7 @@
       suspects.insert(id);
     }
   }
-  mDirectory.TakeSuspects(suspects);
+  mDirectory.SetSuspects(suspects);
   StepSession(
     membership::SuspectsEvent{ { suspects.begin(), suspects.end() } });
 }
@@ -130,91 +130,93 @@
   StepSession(membership::SessionTickEvent{});
   StepLedger(ledger::TickEvent{});
   StepRequests(aEvent);
-  CheckLeft();
+  CheckDeparture();
 }
 
 void
 EntryNodeState::StepSession(const membership::ControlSessionEvent& aEvent)
 {
   for (const auto& effect : mSession->Step(aEvent, mNow)) {
-    std::visit([this](const auto& aAny) { Carry(aAny); }, effect);
+    std::visit([this](const auto& aAny) { Perform(aAny); }, effect);
   }
 }
 
 void
-EntryNodeState::Carry(const membership::ToControlEffect& aEffect)
+EntryNodeState::Perform(const membership::ToControlEffect& aEffect)
 {
   mEffects->emplace_back(
     ToControlReplicaEffect{ aEffect.mTo, aEffect.mEnvelope });
 }
 
 void
-EntryNodeState::Carry(const membership::JoinedEffect& aEffect)
+EntryNodeState::Perform(const membership::JoinedEffect& aEffect)
 {
   mSelf = aEffect.mMember;
   mLedger.emplace(mSelf, mOptions.mLedger);
   mRequests.emplace(mSelf, mOptions.mRequests, mRouter);
   StepRequests(SettingsEvent{ mTree });
   mEffects->emplace_back(BecameMemberEffect{ mSelf });
-  // The member list may come before the answer that gives us our id. A ledger
-  // that never heard of the list answers no query of its peers: each shard that
-  // this entry is in would stand still until the next epoch, unless it is told.
+  // The member list may arrive before the response with this entry's member ID.
+  // A ledger without the list answers no query of its peers, so every shard
+  // with this entry as a replica would stall until the next epoch.
   if (mSession->Epoch().mEpoch.IsSet()) {
-    HandOn(mSession->Epoch());
+    DistributeMembers(mSession->Epoch());
   }
 }
 
 void
-EntryNodeState::Carry(const membership::RemovedEffect& /*aEffect*/)
+EntryNodeState::Perform(const membership::RemovedEffect& /*aEffect*/)
 {
-  // Others have taken over what this life held. Its callers are told to attach
-  // elsewhere; nothing of the old life may go on beside its successor.
+  // Other entries have taken over the state of this incarnation. Its callers
+  // must attach elsewhere, and none of its requests may continue here while its
+  // successor runs them.
   StepRequests(AbandonEvent{});
   mEffects->emplace_back(LostMembershipEffect{});
   if (mLeaving) {
-    mLeft = true;
+    mDepartureComplete = true;
     mEffects->emplace_back(LeftEffect{});
   }
-  BeginLife();
+  StartIncarnation();
 }
 
 void
-EntryNodeState::Carry(const membership::DrainEffect& /*aEffect*/)
+EntryNodeState::Perform(const membership::DrainEffect& /*aEffect*/)
 {
   BeginLeaving();
 }
 
 void
-EntryNodeState::Carry(const membership::NewSettingsEffect& aEffect)
+EntryNodeState::Perform(const membership::NewSettingsEffect& aEffect)
 {
   mEffects->emplace_back(
-    TakeSettingsEffect{ aEffect.mRevision, aEffect.mText });
+    ApplySettingsEffect{ aEffect.mRevision, aEffect.mText });
 }
 
 void
-EntryNodeState::Carry(const membership::NewEpochEffect& aEffect)
+EntryNodeState::Perform(const membership::NewEpochEffect& aEffect)
 {
   const membership::EpochMap& map = aEffect.mMap;
   mMembers.clear();
   for (const membership::Member& member : map.mMembers) {
     mMembers.emplace(member.mId, member);
   }
-  mDirectory.TakeEpoch(map);
-  mEffects->emplace_back(EpochTakenEffect{ map.mEpoch, map.mMembers.size() });
-  HandOn(map);
+  mDirectory.SetEpoch(map);
+  mEffects->emplace_back(EpochAdoptedEffect{ map.mEpoch, map.mMembers.size() });
+  DistributeMembers(map);
   const auto self = mMembers.find(mSelf);
   const bool draining =
     self != mMembers.end() &&
     self->second.mState == membership::MemberState::kDraining;
   if (draining && !mDrainStarted) {
-    // Only now do others know that no new work may come here.
+    // The handover starts only now because the other entries learn from this
+    // epoch that this entry accepts no new requests.
     mDrainStarted = true;
     StepRequests(DrainEvent{});
   }
 }
 
 void
-EntryNodeState::HandOn(const membership::EpochMap& aMap)
+EntryNodeState::DistributeMembers(const membership::EpochMap& aMap)
 {
   StepLedger(ledger::EpochChangedEvent{ aMap });
   StepRequests(MembersEvent{ aMap });
@@ -227,24 +229,24 @@
     return;
   }
   for (const auto& effect : mLedger->Step(aEvent, mNow)) {
-    std::visit([this](const auto& aAny) { Carry(aAny); }, effect);
+    std::visit([this](const auto& aAny) { Perform(aAny); }, effect);
   }
 }
 
 void
-EntryNodeState::Carry(const ledger::SendEffect& aEffect)
+EntryNodeState::Perform(const ledger::SendEffect& aEffect)
 {
   SendToMember(aEffect.mTo, aEffect.mMessage);
 }
 
 void
-EntryNodeState::Carry(const ledger::AnsweredEffect& aEffect)
+EntryNodeState::Perform(const ledger::AnsweredEffect& aEffect)
 {
   StepRequests(LedgerAnsweredEvent{ aEffect.mCall, aEffect.mAnswer });
 }
 
 void
-EntryNodeState::Carry(const ledger::OrphanedEffect& aEffect)
+EntryNodeState::Perform(const ledger::OrphanedEffect& aEffect)
 {
   StepRequests(OrphanedEvent{ aEffect.mRecord, aEffect.mRemaining });
 }
@@ -256,26 +258,26 @@
     return;
   }
   for (const auto& effect : mRequests->Step(aEvent, mNow)) {
-    std::visit([this](const auto& aAny) { Carry(aAny); }, effect);
+    std::visit([this](const auto& aAny) { Perform(aAny); }, effect);
   }
 }
 
 void
-EntryNodeState::Carry(const ProposeEffect& aEffect)
+EntryNodeState::Perform(const ProposeEffect& aEffect)
 {
   StepLedger(
     ledger::ProposeEvent{ aEffect.mCall, aEffect.mKey, aEffect.mOperation });
 }
 
 void
-EntryNodeState::Carry(const RelayEffect& aEffect)
+EntryNodeState::Perform(const RelayEffect& aEffect)
 {
   SendToMember(aEffect.mTo, aEffect.mMessage);
 }
 
 template<typename Other>
 void
-EntryNodeState::Carry(const Other& aEffect)
+EntryNodeState::Perform(const Other& aEffect)
 {
   mEffects->emplace_back(aEffect);
 }
@@ -287,30 +289,31 @@
     return;
   }
   mLeaving = true;
-  mLeaveBy = mNow + mOptions.mLeaveLimit;
+  mLeaveDeadline = mNow + mOptions.mMaxLeaveTime;
   if (mSelf.IsSet()) {
-    mDirectory.TakeLeaving(mSelf);
+    mDirectory.MarkLeaving(mSelf);
   }
 }
 
 void
-EntryNodeState::CheckLeft()
+EntryNodeState::CheckDeparture()
 {
-  if (!mLeaving || mLeft) {
+  if (!mLeaving || mDepartureComplete) {
     return;
   }
-  // When every entry leaves, as in a planned stop of the whole system, nobody
-  // is left to take the ledger's copies: only the work is waited for.
+  // When every entry leaves, as in a planned stop of the system, no entry is
+  // left to receive the ledger's copies; only requests and callers are waited
+  // for.
   const bool handedOver =
     mDrainStarted && mRequests->Running() == 0 && mRequests->Callers() == 0 &&
     (mLedger->Counters().mHeldShards == 0 || !AnyActiveMember());
-  if (handedOver && !mToldDone) {
-    mToldDone = true;
-    StepSession(membership::LeftNothingEvent{});
+  if (handedOver && !mDepartureReported) {
+    mDepartureReported = true;
+    StepSession(membership::HandoverCompleteEvent{});
   }
   const bool neverJoined = !mSelf.IsSet();
-  if (!mLeft && (neverJoined || mNow >= mLeaveBy)) {
-    mLeft = true;
+  if (!mDepartureComplete && (neverJoined || mNow >= mLeaveDeadline)) {
+    mDepartureComplete = true;
     mEffects->emplace_back(LeftEffect{});
   }
 }
@@ -324,16 +327,17 @@
 }
 
 void
-EntryNodeState::SpreadAnnouncement(
+EntryNodeState::ForwardAnnouncement(
   const routing::UpstreamAnnouncement& aAnnouncement)
 {
   std::vector<MemberId> members;
   for (const auto& [id, member] : mMembers) {
     members.push_back(id);
   }
-  // A report to every entry would grow with entries times upstreams.
+  // Reporting to every entry would cost messages in proportion to the number of
+  // entries times the number of upstreams.
   for (const MemberId target :
-       routing::SpreadTargets(aAnnouncement.mName, members)) {
+       routing::AnnouncementTargets(aAnnouncement.mName, members)) {
     if (target != mSelf) {
       SendToMember(target, aAnnouncement);
     }
@@ -357,10 +361,10 @@
   mEffects->emplace_back(ReplyEffect{ aExchange, std::move(aReply) });
 }
 
-membership::DirectoryAnswer
+membership::DirectoryResponse
 EntryNodeState::Directory(const Region& aRegion)
 {
-  return mDirectory.Answer(aRegion);
+  return mDirectory.MakeResponse(aRegion);
 }
 
 EntryNodeStatus
--- a/src/request/Execution.h
+++ b/src/request/Execution.h
@@ -3,7 +3,7 @@
 #include "peridotspool/ledger/Operation.h"
 #include "peridotspool/request/Event.h"
 #include "request/Answer.h"
-#include "request/LifeState.h"
+#include "request/ExecutionState.h"
 #include "request/StepContext.h"
 
 #include <memory>
@@ -12,19 +12,20 @@
 
 namespace peridotspool::request {
 
-class Life;
+class ExecutionStateMachine;
 
-/** Why this entry became the executor. */
-enum class ExecutionStart
+/** How this entry became the executor. */
+enum class ExecutionOrigin
 {
   kAccepted,
   kTakenOver,
 };
 
 /**
- * One request at its executor: chooses upstreams, keeps the text that came,
- * retries within the rules for requests that may not run twice, and proposes
- * the outcome. It works under one executor turn and stops when that is lost.
+ * Runs one request at its executor: chooses upstreams, collects the answer's
+ * text, retries without running a non-idempotent request twice, and proposes
+ * the outcome. It belongs to one executor turn, the number that fences
+ * executors, and stops when another executor takes over.
  */
 class Execution
 {
@@ -32,39 +33,41 @@
   Execution(const ledger::RequestRecord& aRecord, TimePoint aDeadline);
   ~Execution();
 
-  /** Begins, after an accept that was admitted, or a takeover, is committed. */
-  void Start(StepContext& aContext, ExecutionStart aWhy);
-  /** Waits for its turn; Start follows, or the deadline. */
+  /** Starts the request, once its acceptance is committed and it is admitted,
+   * or once a takeover is committed. */
+  void Start(StepContext& aContext, ExecutionOrigin aWhy);
+  /** Queues the request until Start is called or the deadline passes. */
   void Wait(StepContext& aContext);
-  /** Ends it before anything was sent. */
+  /** Ends the request with a refusal before it is sent to an upstream. */
   void Refuse(StepContext& aContext, Tally aWhy, ledger::Outcome aOutcome);
-  /** Takes the ledger's answer to one of this execution's proposals. */
+  /** Handles the ledger's answer to a proposal of this execution. */
   void OnLedgerAnswer(StepContext& aContext,
                       CallId aCall,
                       const ledger::OperationAnswer& aAnswer);
   void OnUpstream(StepContext& aContext, const UpstreamEvent& aEvent);
-  /** Does what is due by time; see NextWake. */
+  /** Performs the work that is due now; see NextWake. */
   void OnTick(StepContext& aContext);
-  /** The outcome was committed by someone else, for example a cancel. */
+  /** Handles an outcome that this execution did not commit, for example a
+   * cancellation. */
   void OnOutcome(StepContext& aContext, const ledger::Outcome& aOutcome);
-  /** Another entry has become the executor. */
+  /** Handles the loss of the executor turn to another entry. */
   void OnTurnLost(StepContext& aContext);
 
   const Answer& CurrentAnswer() const { return mAnswer; }
   const ledger::RequestRecord& Record() const { return mRecord; }
   TimePoint Deadline() const { return mDeadline; }
-  /** When OnTick has something to do; never later than the deadline. */
+  /** Returns when OnTick must be called next; never later than the deadline. */
   TimePoint NextWake() const { return mWake; }
   bool Ended() const;
-  /** Returns true iff another entry could go on with the upstream's stream. */
-  bool CanMove() const;
-  /** Returns true iff the ended execution lost its turn. */
+  /** Returns true iff another entry could resume the upstream's stream. */
+  bool CanHandOver() const;
+  /** Returns true iff the execution ended because another entry took over. */
   bool LostTurn() const { return mLostTurn; }
-  /** The upstream call under way; unset if there is none. */
+  /** Returns the current upstream call; unset if there is none. */
   CallId UpstreamCall() const { return mUpstreamCall; }
 
 private:
-  /** The attempt at an upstream that is under way or was the last. */
+  /** The current or most recent attempt at an upstream. */
   struct Attempt
   {
     AttemptNumber mNumber;
@@ -88,58 +91,62 @@
   void OnDone(StepContext& aContext, const UpstreamDone& aDone);
   void OnRefused(StepContext& aContext, const UpstreamRefused& aRefused);
   void OnBroken(StepContext& aContext, const UpstreamBroken& aBroken);
-  bool Belongs(const std::string& aRequest, AttemptNumber aAttempt) const;
+  bool MatchesAttempt(const std::string& aRequest,
+                      AttemptNumber aAttempt) const;
 
   routing::RouteQuery MakeQuery(const StepContext& aContext) const;
   void RetryLater(StepContext& aContext, Tally aWhy);
-  void GiveUpRetrying(StepContext& aContext, routing::NoRetry aWhy);
-  void RetryAfterNoRun(StepContext& aContext, Tally aWhy);
+  void RefuseRetry(StepContext& aContext, routing::NoRetry aWhy);
+  void RetryNotRun(StepContext& aContext, Tally aWhy);
   void RetryOrGiveUp(StepContext& aContext, Tally aWhy);
   void GiveUp(StepContext& aContext, ledger::Outcome aOutcome);
   void GiveUpOnDeadline(StepContext& aContext);
   ledger::Outcome MakeRefusal(const StepContext& aContext,
                               std::int32_t aStatus,
                               std::string aReason) const;
-  ledger::Outcome MakeLoss(std::string aReason) const;
+  ledger::Outcome MakeLostOutcome(std::string aReason) const;
   void ProposeFinish(StepContext& aContext);
   void Conclude(StepContext& aContext, const ledger::Outcome& aOutcome);
 
   void OnIntentAnswer(StepContext& aContext,
                       const ledger::OperationAnswer& aAnswer);
-  void TakeIntent(const ledger::OperationAnswer& aAnswer);
+  void RecordIntent(const ledger::OperationAnswer& aAnswer);
   void OnVoidAnswer(StepContext& aContext,
                     const ledger::OperationAnswer& aAnswer);
   void OnFinishAnswer(StepContext& aContext,
                       const ledger::OperationAnswer& aAnswer);
-  /** Handles verdicts that end this execution; false if it goes on. */
-  bool EndsHere(StepContext& aContext, const ledger::OperationAnswer& aAnswer);
+  /** Handles the verdicts that end this execution; returns false if it
+   * continues. */
+  bool HandleFinalVerdict(StepContext& aContext,
+                          const ledger::OperationAnswer& aAnswer);
 
   void Propose(StepContext& aContext, ledger::Operation aOperation);
-  void StopUpstream(StepContext& aContext, bool aTellUpstream);
+  void StopUpstream(StepContext& aContext, bool aCancelAttempt);
   void WakeAt(TimePoint aTime);
   std::string UpstreamRequestName() const;
-  /** Returns true iff some upstream may have begun to run the request. */
+  /** Returns true iff an upstream may have started to run the request. */
   bool MayHaveRun() const { return mMayHaveRun; }
 
   ledger::RequestRecord mRecord;
   TimePoint mDeadline;
-  std::unique_ptr<Life> mLife;
+  std::unique_ptr<ExecutionStateMachine> mStateMachine;
   Answer mAnswer;
-  /** Index of the next piece that counts. */
+  /** Index of the next expected piece. */
   std::uint64_t mNextIndex = 0;
   std::uint32_t mAttempts = 0;
   std::optional<Attempt> mAttempt;
   std::vector<UpstreamName> mAvoid;
   std::vector<std::uint64_t> mPromptBlocks;
-  /** False while it waits to be admitted. */
+  /** False until the request is admitted. */
   bool mAdmitted = false;
   CallId mUpstreamCall;
   CallId mProposal;
-  /** True iff a retry's cause was that an upstream was lost. */
+  /** True once an attempt failed because the connection to its upstream was
+   * lost. */
   bool mAfterLoss = false;
   bool mAfterTakeover = false;
   bool mMayHaveRun = false;
-  /** What mMayHaveRun was before the last attempt. */
+  /** The value of `mMayHaveRun` before the last attempt. */
   bool mMayHaveRunBefore = false;
   bool mLostTurn = false;
   std::optional<ledger::Outcome> mPendingOutcome;
--- a/src/request/ExecutionEnd.cpp
+++ b/src/request/ExecutionEnd.cpp
@@ -1,7 +1,7 @@
-// How an execution tries again, and how it gives up.
+// Retries and final failures of an execution.
 
 #include "request/Execution.h"
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,15 +17,16 @@
 } // namespace
 
 void
-Execution::RetryAfterNoRun(StepContext& aContext, Tally aWhy)
+Execution::RetryNotRun(StepContext& aContext, Tally aWhy)
 {
   mMayHaveRun = mMayHaveRunBefore;
   if (mRecord.mTerms.mIdempotent) {
     RetryLater(aContext, aWhy);
     return;
   }
-  // Its committed intent still forbids a second one on every replica.
-  mLife->Take(LifeEvent::kMustVoid);
+  // The committed intent forbids another attempt on every replica until it is
+  // voided.
+  mStateMachine->Apply(ExecutionEvent::kMustVoid);
   aContext.Count(aWhy);
   Propose(aContext,
           ledger::VoidIntentOperation{ .mExecutorTurn = mRecord.mExecutorTurn,
@@ -39,24 +40,24 @@
     RetryLater(aContext, aWhy);
     return;
   }
-  GiveUp(aContext, MakeLoss("upstream-lost"));
+  GiveUp(aContext, MakeLostOutcome("upstream-lost"));
 }
 
 void
 Execution::RetryLater(StepContext& aContext, Tally aWhy)
 {
-  const auto decision = aContext.mDesk.DecideRetry(
+  const auto decision = aContext.mAdmission.DecideRetry(
     mRecord.mKey.mCustomer,
     mRecord.mTerms.mService,
-    routing::FailedTry{ .mTries = mAttempts,
-                        .mDeadline = mDeadline,
-                        .mRandom = aContext.mRandom() },
+    routing::FailedAttempt{ .mAttempts = mAttempts,
+                            .mDeadline = mDeadline,
+                            .mRandom = aContext.mRandom() },
     aContext.mNow);
-  if (const auto* never = std::get_if<routing::NoRetry>(&decision)) {
-    GiveUpRetrying(aContext, *never);
+  if (const auto* noRetry = std::get_if<routing::NoRetry>(&decision)) {
+    RefuseRetry(aContext, *noRetry);
     return;
   }
-  if (!mLife->Take(LifeEvent::kRetry)) {
+  if (!mStateMachine->Apply(ExecutionEvent::kRetry)) {
     return;
   }
   aContext.Count(aWhy);
@@ -67,7 +68,7 @@
 }
 
 void
-Execution::GiveUpRetrying(StepContext& aContext, routing::NoRetry aWhy)
+Execution::RefuseRetry(StepContext& aContext, routing::NoRetry aWhy)
 {
   switch (aWhy) {
     case routing::NoRetry::kAttemptsSpent:
@@ -93,7 +94,8 @@
                        std::int32_t aStatus,
                        std::string aReason) const
 {
-  // Only a request that no upstream can have begun is said not to have run.
+  // An outcome is kRefused, which guarantees that the request did not run, only
+  // if no upstream can have started it.
   return ledger::Outcome{ .mKind = MayHaveRun() ? ledger::OutcomeKind::kFailed
                                                 : ledger::OutcomeKind::kRefused,
                           .mStatus = aStatus,
@@ -102,7 +104,7 @@
 }
 
 ledger::Outcome
-Execution::MakeLoss(std::string aReason) const
+Execution::MakeLostOutcome(std::string aReason) const
 {
   const bool once = !mRecord.mTerms.mIdempotent;
   ledger::Outcome outcome{ .mKind = once ? ledger::OutcomeKind::kUnknown
@@ -119,8 +121,8 @@
 void
 Execution::GiveUpOnDeadline(StepContext& aContext)
 {
-  if (mLife->State() == LifeState::kIntending) {
-    // The intent may be committed already; its answer decides.
+  if (mStateMachine->State() == ExecutionState::kIntending) {
+    // The intent may be committed already; the ledger's answer decides.
     return;
   }
   if (!MayHaveRun()) {
@@ -128,7 +130,7 @@
     GiveUp(aContext, MakeRefusal(aContext, kStatusGatewayTimeout, "deadline"));
     return;
   }
-  ledger::Outcome outcome = MakeLoss("deadline");
+  ledger::Outcome outcome = MakeLostOutcome("deadline");
   outcome.mStatus = kStatusGatewayTimeout;
   GiveUp(aContext, std::move(outcome));
 }
@@ -136,7 +138,7 @@
 void
 Execution::GiveUp(StepContext& aContext, ledger::Outcome aOutcome)
 {
-  if (!mLife->Take(LifeEvent::kGiveUp)) {
+  if (!mStateMachine->Apply(ExecutionEvent::kGiveUp)) {
     return;
   }
   StopUpstream(aContext, true);
@@ -145,14 +147,14 @@
 }
 
 void
-Execution::StopUpstream(StepContext& aContext, bool aTellUpstream)
+Execution::StopUpstream(StepContext& aContext, bool aCancelAttempt)
 {
   if (!mUpstreamCall.IsSet()) {
     return;
   }
   aContext.mEffects.emplace_back(DropUpstreamEffect{ mUpstreamCall });
   mUpstreamCall = CallId();
-  if (aTellUpstream) {
+  if (aCancelAttempt) {
     aContext.mRouter.Ended(
       mAttempt->mUpstream, routing::AttemptEnd::kCancelled, aContext.mNow);
     aContext.mEffects.emplace_back(CancelUpstreamEffect{ mAttempt->mAddress,
--- a/src/request/ExecutionLedger.cpp
+++ b/src/request/ExecutionLedger.cpp
@@ -1,8 +1,8 @@
-// What an execution proposes to the ledger, and does with its answers.
+// An execution's proposals to the ledger, and the handling of its answers.
 
 #include "peridotspool/base/Invariant.h"
 #include "request/Execution.h"
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 
 #include <utility>
 
@@ -30,28 +30,29 @@
                           CallId aCall,
                           const ledger::OperationAnswer& aAnswer)
 {
-  if (aCall != mProposal || EndsHere(aContext, aAnswer)) {
+  if (aCall != mProposal || HandleFinalVerdict(aContext, aAnswer)) {
     return;
   }
-  switch (mLife->State()) {
-    case LifeState::kIntending:
+  switch (mStateMachine->State()) {
+    case ExecutionState::kIntending:
       OnIntentAnswer(aContext, aAnswer);
       break;
-    case LifeState::kVoiding:
+    case ExecutionState::kVoiding:
       OnVoidAnswer(aContext, aAnswer);
       break;
-    case LifeState::kFinishing:
+    case ExecutionState::kFinishing:
       OnFinishAnswer(aContext, aAnswer);
       break;
     default:
-      // The answer to an intent that was not waited for.
+      // The answer to the intent of an idempotent request, which is sent
+      // without waiting for it.
       break;
   }
 }
 
 bool
-Execution::EndsHere(StepContext& aContext,
-                    const ledger::OperationAnswer& aAnswer)
+Execution::HandleFinalVerdict(StepContext& aContext,
+                              const ledger::OperationAnswer& aAnswer)
 {
   if (aAnswer.mVerdict == ledger::Verdict::kOldTurn ||
       aAnswer.mVerdict == ledger::Verdict::kNoSuchRequest) {
@@ -71,12 +72,12 @@
                           const ledger::OperationAnswer& aAnswer)
 {
   if (aAnswer.mVerdict == ledger::Verdict::kMayHaveRun) {
-    GiveUp(aContext, MakeLoss("may-have-run"));
+    GiveUp(aContext, MakeLostOutcome("may-have-run"));
     return;
   }
   if (aAnswer.mVerdict != ledger::Verdict::kDone) {
-    // Without an answer the intent may or may not stand; sending now could be
-    // a second run after another executor's first.
+    // The intent may or may not be committed; sending the request now could run
+    // it a second time, after another executor's attempt.
     Propose(aContext,
             ledger::IntendOperation{
               .mExecutorTurn = mRecord.mExecutorTurn,
@@ -86,21 +87,21 @@
                            .mFromIndex = mAttempt->mFromIndex } });
     return;
   }
-  TakeIntent(aAnswer);
+  RecordIntent(aAnswer);
   if (aContext.mNow >= mDeadline) {
-    RetryAfterNoRun(aContext, Tally::kRefusedDeadline);
+    RetryNotRun(aContext, Tally::kRefusedDeadline);
     return;
   }
-  mLife->Take(LifeEvent::kDispatch);
+  mStateMachine->Apply(ExecutionEvent::kDispatch);
   Send(aContext,
        GenerateMode{ .mPrefix = mAnswer.mText, .mFromIndex = mNextIndex });
 }
 
 void
-Execution::TakeIntent(const ledger::OperationAnswer& aAnswer)
+Execution::RecordIntent(const ledger::OperationAnswer& aAnswer)
 {
-  // The ledger leaves the terms out of its answers to what an executor, which
-  // has them, proposes; only the intent is news.
+  // The ledger omits the terms from its answers to an executor, which has them,
+  // so only the intent is copied from the record.
   if (aAnswer.mRecord) {
     mRecord.mIntent = aAnswer.mRecord->mIntent;
     mRecord.mIntentVoid = aAnswer.mRecord->mIntentVoid;
@@ -118,7 +119,7 @@
     return;
   }
   mMayHaveRun = false;
-  TakeIntent(aAnswer);
+  RecordIntent(aAnswer);
   if (aContext.mNow >= mDeadline) {
     GiveUpOnDeadline(aContext);
     return;
@@ -135,13 +136,13 @@
     return;
   }
   if (aAnswer.mVerdict == ledger::Verdict::kMayHaveRun) {
-    mPendingOutcome = MakeLoss("may-have-run");
+    mPendingOutcome = MakeLostOutcome("may-have-run");
   }
   if (aContext.mNow > mDeadline + aContext.mOptions.mFinishGrace) {
-    // The ledger can't be reached for good: the callers are told at least
-    // that nothing sure is known.
-    mAnswer.mOutcome = MakeLoss("ledger-lost");
-    mLife->Take(LifeEvent::kFinishCommitted);
+    // The ledger stayed unreachable for the whole grace period. The callers
+    // receive at least an outcome that says the result is not known.
+    mAnswer.mOutcome = MakeLostOutcome("ledger-lost");
+    mStateMachine->Apply(ExecutionEvent::kFinishCommitted);
     return;
   }
   ProposeFinish(aContext);
@@ -150,10 +151,10 @@
 void
 Execution::Conclude(StepContext& aContext, const ledger::Outcome& aOutcome)
 {
-  mLife->Take(LifeEvent::kFinishCommitted);
-  const Answer kept = AnswerOf(aOutcome, mRecord.mExecutor);
-  if (kept.mLineage.IsSet()) {
-    mAnswer = kept;
+  mStateMachine->Apply(ExecutionEvent::kFinishCommitted);
+  const Answer answer = MakeAnswer(aOutcome, mRecord.mExecutor);
+  if (answer.mLineage.IsSet()) {
+    mAnswer = answer;
   } else {
     mAnswer.mOutcome = aOutcome;
   }
@@ -182,20 +183,20 @@
     return;
   }
   StopUpstream(aContext, true);
-  mLife->Take(LifeEvent::kGiveUp);
+  mStateMachine->Apply(ExecutionEvent::kGiveUp);
   Conclude(aContext, aOutcome);
 }
 
 void
 Execution::OnTurnLost(StepContext& aContext)
 {
-  if (!mLife->Take(LifeEvent::kTurnLost)) {
+  if (!mStateMachine->Apply(ExecutionEvent::kTurnLost)) {
     return;
   }
   mLostTurn = true;
   aContext.Count(Tally::kTurnLost);
-  // The engine's stream belongs to the next executor now: only the connection
-  // is closed, the stream is not cancelled.
+  // The next executor now owns the engine's stream, so the connection is closed
+  // but the stream is not cancelled.
   StopUpstream(aContext, false);
 }
 
--- a/src/request/ExecutionUpstream.cpp
+++ b/src/request/ExecutionUpstream.cpp
@@ -1,8 +1,8 @@
-// What an execution does with what comes from its upstream.
+// Handles the events of an execution's upstream call.
 
 #include "peridotspool/base/Overloaded.h"
 #include "request/Execution.h"
-#include "request/Life.h"
+#include "request/ExecutionStateMachine.h"
 
 #include <utility>
 
@@ -10,7 +10,8 @@
 
 namespace {
 
-/** New connections tried for a stream before its upstream is given up. */
+/** Maximum number of resumes of a stream without a new piece; then the upstream
+ * counts as lost. */
 constexpr std::uint32_t kMaxResumes = 2;
 constexpr std::int32_t kStatusOk = 200;
 constexpr std::uint32_t kFirstServerError = 500;
@@ -20,10 +21,10 @@
 void
 Execution::OnUpstream(StepContext& aContext, const UpstreamEvent& aEvent)
 {
-  const LifeState state = mLife->State();
+  const ExecutionState state = mStateMachine->State();
   const bool expected =
-    aEvent.mCall == mUpstreamCall &&
-    (state == LifeState::kDispatched || state == LifeState::kStreaming);
+    aEvent.mCall == mUpstreamCall && (state == ExecutionState::kDispatched ||
+                                      state == ExecutionState::kStreaming);
   if (!expected) {
     aContext.Count(Tally::kLatePieceDropped);
     return;
@@ -38,7 +39,8 @@
 }
 
 bool
-Execution::Belongs(const std::string& aRequest, AttemptNumber aAttempt) const
+Execution::MatchesAttempt(const std::string& aRequest,
+                          AttemptNumber aAttempt) const
 {
   return aRequest == UpstreamRequestName() && aAttempt == mAttempt->mNumber;
 }
@@ -46,9 +48,9 @@
 void
 Execution::OnPiece(StepContext& aContext, const UpstreamPiece& aPiece)
 {
-  if (!Belongs(aPiece.mRequest, aPiece.mAttempt)) {
-    // Answers crossed inside the upstream. The piece is somebody else's and
-    // this caller must never see it; the caller's own pieces go on.
+  if (!MatchesAttempt(aPiece.mRequest, aPiece.mAttempt)) {
+    // The upstream mixed up answers. The piece belongs to another request or
+    // attempt and must never reach this caller; the stream continues.
     aContext.Count(Tally::kCrossedPieceDropped);
     return;
   }
@@ -57,8 +59,8 @@
     return;
   }
   if (aPiece.mIndex > mNextIndex) {
-    // A piece is missing (it went to somebody else, say): what follows would
-    // leave a hole in the answer, so the stream is fetched again from here.
+    // A piece is missing, for example because it went to another request. To
+    // avoid a gap in the answer, the stream is resumed from the missing piece.
     StopUpstream(aContext, false);
     OnBroken(aContext, UpstreamBroken{ .mReason = "gap in the stream" });
     return;
@@ -66,7 +68,7 @@
   if (!mAnswer.mLineage.IsSet()) {
     mAnswer.mLineage = mAttempt->mNumber;
   }
-  mLife->Take(LifeEvent::kPiece);
+  mStateMachine->Apply(ExecutionEvent::kPiece);
   ++mNextIndex;
   mAttempt->mResumes = 0;
   mAnswer.mText += aPiece.mText;
@@ -75,7 +77,7 @@
 void
 Execution::OnDone(StepContext& aContext, const UpstreamDone& aDone)
 {
-  if (!Belongs(aDone.mRequest, aDone.mAttempt)) {
+  if (!MatchesAttempt(aDone.mRequest, aDone.mAttempt)) {
     aContext.Count(Tally::kCrossedPieceDropped);
     StopUpstream(aContext, false);
     OnBroken(aContext, UpstreamBroken{ .mReason = "crossed answer" });
@@ -103,7 +105,7 @@
     mAnswer.mLineage = mAttempt->mNumber;
     mAnswer.mText = aDone.mResult;
   }
-  mLife->Take(LifeEvent::kComplete);
+  mStateMachine->Apply(ExecutionEvent::kComplete);
   mPendingOutcome = ledger::Outcome{ .mKind = ledger::OutcomeKind::kAnswered,
                                      .mStatus = kStatusOk,
                                      .mBody = mAnswer.mText,
@@ -126,15 +128,15 @@
   if (aRefused.mDidNotRun) {
     mNotBefore = aContext.mNow + aRefused.mRetryAfter;
     mAvoid.push_back(mAttempt->mUpstream);
-    RetryAfterNoRun(aContext, Tally::kRetryUpstreamRefused);
+    RetryNotRun(aContext, Tally::kRetryUpstreamRefused);
     return;
   }
   if (aRefused.mStatus >= kFirstServerError) {
     RetryOrGiveUp(aContext, Tally::kRetryUpstreamRefused);
     return;
   }
-  // The upstream understood the request and will not do it: another try would
-  // get the same answer.
+  // The upstream rejected the request as such; a retry would be rejected
+  // again.
   GiveUp(
     aContext,
     ledger::Outcome{ .mKind = ledger::OutcomeKind::kFailed,
@@ -161,7 +163,7 @@
   mAvoid.push_back(mAttempt->mUpstream);
   mAfterLoss = true;
   if (!aBroken.mMayHaveRun && mAttempt->mResumes == 0) {
-    RetryAfterNoRun(aContext, why);
+    RetryNotRun(aContext, why);
   } else {
     RetryOrGiveUp(aContext, why);
   }
@@ -170,9 +172,9 @@
 bool
 Execution::TryResumeSameStream(StepContext& aContext)
 {
-  // The connection may be dead while the engine still generates (something
-  // between the two lost track of it): a new connection to the same stream
-  // costs nothing, and is no second run.
+  // The connection may be dead while the engine still generates, for example
+  // because a network device between them dropped the connection's state. A new
+  // connection to the same stream recomputes nothing and is no second run.
   const bool engine = mAttempt->mKind == routing::UpstreamKind::kModelEngine;
   if (!engine || mAttempt->mResumes >= kMaxResumes) {
     return false;
--- a/src/request/LedgerAnswers.cpp
+++ b/src/request/LedgerAnswers.cpp
@@ -1,4 +1,4 @@
-// What the request manager does with the ledger's answers.
+// Handles the ledger's answers to the request manager.
 
 #include "request/RequestManagerState.h"
 
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::int32_t kStatusUnavailable = 503;
-constexpr std::int32_t kStatusConflict = 422;
+constexpr std::int32_t kStatusUnprocessable = 422;
 
 } // namespace
 
@@ -33,23 +33,23 @@
     case ledger::Verdict::kOtherTerms:
       mEffects->emplace_back(CountEffect{ Tally::kRefusedOtherTerms });
       RefuseExchange(
-        aPending.mExchange, kStatusConflict, "key-used-with-other-terms");
+        aPending.mExchange, kStatusUnprocessable, "key-used-with-other-terms");
       return;
     default:
-      ReplyTo(aPending.mExchange, NoAnswerReply{});
+      ReplyTo(aPending.mExchange, StatusUnknownReply{});
       return;
   }
   ReplyTo(aPending.mExchange, AcceptedReply{ aKey });
   LocalRequest& request = mRequests[aKey];
   if (mExchanges.count(aPending.mExchange) > 0) {
-    request.mAudience.Add(aPending.mExchange, {});
+    request.mSubscribers.Add(aPending.mExchange, {});
   }
   if (aAnswer.mVerdict == ledger::Verdict::kDone) {
-    BeginExecution(aKey, aAnswer, ExecutionStart::kAccepted);
+    BeginExecution(aKey, aAnswer, ExecutionOrigin::kAccepted);
   } else if (aAnswer.mRecord) {
     OnRecord(aKey, *aAnswer.mRecord);
   }
-  Settle(aKey);
+  PublishProgress(aKey);
 }
 
 void
@@ -69,13 +69,14 @@
     OnRecord(aKey, *aAnswer.mRecord);
   } else {
     const bool absent = aAnswer.mVerdict == ledger::Verdict::kNoSuchRequest;
-    for (const CallId exchange : request.mAudience.TakeCallers()) {
+    for (const CallId exchange : request.mSubscribers.RemoveCallers()) {
       ReplyTo(exchange,
-              absent ? Reply(NoSuchRequestReply{}) : Reply(NoAnswerReply{}));
+              absent ? Reply(NoSuchRequestReply{})
+                     : Reply(StatusUnknownReply{}));
     }
     request.mFollowing.reset();
   }
-  Settle(aKey);
+  PublishProgress(aKey);
 }
 
 void
@@ -84,15 +85,16 @@
 {
   LocalRequest& request = mRequests[aKey];
   if (aRecord.mOutcome) {
-    request.mMirror = AnswerOf(*aRecord.mOutcome, aRecord.mExecutor);
+    request.mReceivedAnswer = MakeAnswer(*aRecord.mOutcome, aRecord.mExecutor);
     request.mFollowing.reset();
     return;
   }
   if (request.mExecution) {
     return;
   }
-  // The record may name an entry that doesn't run it (any more): one that has
-  // left, one that denied it twice, or this one before a lost answer.
+  // The record may name an entry that does not run the request: one that has
+  // left, one that denied running it twice, or this entry, if the answer that
+  // made it the executor was lost.
   const bool denied =
     request.mFollowing && request.mFollowing->mDenials >= 2 &&
     request.mFollowing->mExecutorTurn == aRecord.mExecutorTurn;
@@ -140,13 +142,13 @@
         aPending.mFrom,
         TakenOverMessage{ aKey, aAnswer.mRecord->mExecutorTurn } });
     }
-    BeginExecution(aKey, aAnswer, ExecutionStart::kTakenOver);
+    BeginExecution(aKey, aAnswer, ExecutionOrigin::kTakenOver);
   } else if (aAnswer.mRecord) {
     OnRecord(aKey, *aAnswer.mRecord);
   } else if (mRequests.count(aKey) > 0) {
     Resolve(aKey);
   }
-  Settle(aKey);
+  PublishProgress(aKey);
 }
 
 void
@@ -163,7 +165,7 @@
       ReplyTo(aPending.mExchange, NoSuchRequestReply{});
       return;
     default:
-      ReplyTo(aPending.mExchange, NoAnswerReply{});
+      ReplyTo(aPending.mExchange, StatusUnknownReply{});
       return;
   }
   if (!aAnswer.mRecord || !aAnswer.mRecord->mOutcome) {
@@ -189,7 +191,7 @@
   } else if (aAnswer.mVerdict == ledger::Verdict::kNoSuchRequest) {
     ReplyTo(aPending.mExchange, NoSuchRequestReply{});
   } else {
-    ReplyTo(aPending.mExchange, NoAnswerReply{});
+    ReplyTo(aPending.mExchange, StatusUnknownReply{});
   }
 }
 
@@ -206,18 +208,18 @@
 void
 RequestManagerState::BeginExecution(const RequestKey& aKey,
                                     const ledger::OperationAnswer& aAnswer,
-                                    ExecutionStart aWhy)
+                                    ExecutionOrigin aWhy)
 {
   LocalRequest& request = mRequests[aKey];
   request.mFollowing.reset();
-  request.mMirror = Answer{};
+  request.mReceivedAnswer = Answer{};
   request.mExecution =
     std::make_unique<Execution>(*aAnswer.mRecord, mNow + aAnswer.mRemaining);
-  if (aWhy == ExecutionStart::kAccepted) {
+  if (aWhy == ExecutionOrigin::kAccepted) {
     Admit(aKey);
     return;
   }
-  // It was admitted where it ran first; it does not queue a second time.
+  // The request was admitted at its first executor and is not queued again.
   WithExecution(aKey, [&](Execution& aExecution, StepContext& aContext) {
     aExecution.Start(aContext, aWhy);
   });
--- a/src/request/LocalRequest.h
+++ b/src/request/LocalRequest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "request/Audience.h"
+#include "request/AnswerSubscribers.h"
 #include "request/Execution.h"
 
 #include <memory>
@@ -8,32 +8,34 @@
 
 namespace peridotspool::request {
 
-/** This entry's view of an answer that another entry's execution makes. */
-struct Following
+/** The state of following an answer that another entry's execution produces. */
+struct FollowState
 {
   MemberId mExecutor;
   AttemptNumber mExecutorTurn;
-  TimePoint mLastHeard;
-  TimePoint mAskAgainAt;
-  std::uint32_t mSilentAsks = 0;
+  TimePoint mLastReceivedAt;
+  TimePoint mNextQueryAt;
+  std::uint32_t mUnansweredQueries = 0;
   std::uint32_t mDenials = 0;
 };
 
-/** All that this entry knows of one request. */
+/** The state of one request at this entry. */
 struct LocalRequest
 {
-  Audience mAudience;
+  AnswerSubscribers mSubscribers;
   /** Set while this entry is the executor. */
   std::unique_ptr<Execution> mExecution;
-  /** Set while another entry is, and somebody here wants the answer. */
-  std::optional<Following> mFollowing;
-  /** What came from the executor that is followed. */
-  Answer mMirror;
-  /** When admission let it go on here; empty before, and after a takeover. */
+  /** Set while another entry is the executor and this entry has subscribers. */
+  std::optional<FollowState> mFollowing;
+  /** The part of the answer received from the followed executor, or the outcome
+   * read from the ledger. */
+  Answer mReceivedAnswer;
+  /** When the request was admitted at this entry; empty before that, and after
+   * a takeover by this entry. */
   std::optional<TimePoint> mAdmittedAt;
-  /** True while the ledger is being asked about it. */
+  /** True while a read of the request's record is pending. */
   bool mResolving = false;
-  /** When something is due; TimePoint::max() if nothing is. */
+  /** When work is due for the request; TimePoint::max() if none is. */
   TimePoint mWake = TimePoint::max();
 };
 
--- a/src/request/StepContext.h
+++ b/src/request/StepContext.h
@@ -5,22 +5,22 @@
 #include "peridotspool/request/Effect.h"
 #include "peridotspool/request/RequestOptions.h"
 #include "peridotspool/routing/Router.h"
-#include "request/ServiceDesk.h"
+#include "request/AdmissionController.h"
 
 #include <random>
 
 namespace peridotspool::request {
 
-/** What one step works with; lives only as long as the step. */
+/** The context of one step; valid only during the step. */
 struct StepContext
 {
   TimePoint mNow;
   MemberId mSelf;
   const RequestOptions& mOptions;
   routing::Router& mRouter;
-  ServiceDesk& mDesk;
+  AdmissionController& mAdmission;
   std::mt19937_64& mRandom;
-  /** The last handle given out. */
+  /** The last call ID assigned. */
   CallId& mLastCall;
   Effects& mEffects;
 
--- a/src/routing/Score.h
+++ b/src/routing/Score.h
@@ -6,19 +6,19 @@
 
 namespace peridotspool::routing {
 
-/** What a decision knows of one candidate besides its figures. */
+/** Inputs of one candidate's score. */
 struct CandidateFacts
 {
-  UpstreamFigures mFigures;
-  /** Mean time of the service's requests; zero if none has ended. */
+  UpstreamStats mStats;
+  /** Mean run time of the service's requests; zero if none has ended. */
   double mServiceHoldMicros = 0;
-  /** Of the service's upstreams. */
+  /** Highest price of the service's upstreams. */
   double mHighestPrice = 0;
-  /** Tokens of the prompt expected in its cache. */
+  /** Tokens of the prompt that are expected in the upstream's cache. */
   double mCachedTokens = 0;
 };
 
-/** The parts of one candidate's score; less is better. */
+/** The parts of one candidate's score; lower is better. */
 struct ScoreParts
 {
   double mFirstTokenMicros = 0;
@@ -26,13 +26,13 @@
   double mCostPart = 0;
   bool mQueueFull = false;
   /** True iff even the first token is expected after the deadline. */
-  bool mTooLate = false;
+  bool mMissesDeadline = false;
 
   double Total() const { return mLatencyPart + mCostPart; }
-  bool IsUsable() const { return !mQueueFull && !mTooLate; }
+  bool IsUsable() const { return !mQueueFull && !mMissesDeadline; }
 };
 
-/** Scores one candidate: the expected time first, then its price. */
+/** Scores one candidate by its expected time and its price. */
 ScoreParts
 ScoreCandidate(const CandidateFacts& aFacts,
                const RouteQuery& aQuery,
--- a/src/routing/UpstreamTable.h
+++ b/src/routing/UpstreamTable.h
@@ -13,23 +13,25 @@
 struct ServicePool
 {
   std::vector<UpstreamIndex> mServing;
-  /** Present but ejected. */
+  /** Number of present but ejected upstreams. */
   std::uint32_t mEjected = 0;
-  /** Mean time that a request takes at any of them; zero before one ended. */
+  /**
+   * Mean run time of the service's requests; zero before the first has ended.
+   */
   double mHoldMicros = 0;
-  /** Highest price that any of them has announced. */
+  /** Highest price that any upstream has announced. */
   double mHighestPrice = 0;
 };
 
 /** What an announcement changed. */
-struct AnnouncementTaken
+struct AnnouncementResult
 {
   UpstreamIndex mIndex = 0;
-  bool mNewLife = false;
+  bool mNewIncarnation = false;
 };
 
 /**
- * The directory of upstreams: announcements as leases, and for each service
+ * The known upstreams, with their announcements as leases, and for each service
  * the list of those that may be chosen.
  */
 class UpstreamTable
@@ -37,23 +39,23 @@
 public:
   explicit UpstreamTable(const RouterOptions& aOptions);
 
-  /** Empty iff the announcement is not newer than what is known. */
-  std::optional<AnnouncementTaken> Announce(
+  /** Returns empty iff the announcement is not newer than the known one. */
+  std::optional<AnnouncementResult> Announce(
     const UpstreamAnnouncement& aAnnouncement,
     TimePoint aNow);
 
-  /** Takes out what has expired and lets ejected ones back in. */
+  /** Removes expired upstreams and readmits ejected ones. */
   void Tick(TimePoint aNow);
   void Sent(UpstreamIndex aIndex, TimePoint aNow);
   void Ended(UpstreamIndex aIndex, AttemptEnd aEnd, TimePoint aNow);
 
   std::optional<UpstreamIndex> Find(const UpstreamName& aName) const;
   const ServicePool* Pool(const ServiceName& aService) const;
-  const UpstreamFigures& Figures(UpstreamIndex aIndex) const
+  const UpstreamStats& Stats(UpstreamIndex aIndex) const
   {
-    return mFigures[aIndex];
+    return mStats[aIndex];
   }
-  UpstreamFigures& Figures(UpstreamIndex aIndex) { return mFigures[aIndex]; }
+  UpstreamStats& Stats(UpstreamIndex aIndex) { return mStats[aIndex]; }
   const UpstreamDetail& Detail(UpstreamIndex aIndex) const
   {
     return mDetails[aIndex];
@@ -63,22 +65,22 @@
   std::uint64_t Ejections() const { return mEjections; }
 
 private:
-  /** Returns true iff it is newer than what is known of its upstream. */
-  bool IsNews(const UpstreamAnnouncement& aAnnouncement) const;
+  /** Returns true iff it is newer than the known one of its upstream. */
+  bool IsNewer(const UpstreamAnnouncement& aAnnouncement) const;
   UpstreamIndex IndexOf(const UpstreamAnnouncement& aAnnouncement);
-  /** Reckons the upstream's load anew. */
+  /** Recomputes the upstream's estimated load. */
   void UpdateLoad(UpstreamIndex aIndex);
-  void TakeFigures(UpstreamIndex aIndex, TimePoint aNow);
+  void UpdateStats(UpstreamIndex aIndex, TimePoint aNow);
   void UpdateServing(UpstreamIndex aIndex, TimePoint aNow);
   void StopServing(UpstreamIndex aIndex);
-  void Learn(UpstreamIndex aIndex, Duration aTook, TimePoint aNow);
+  void RecordHoldTime(UpstreamIndex aIndex, Duration aDuration, TimePoint aNow);
   void TryEject(UpstreamIndex aIndex, TimePoint aNow);
   void EndEjection(UpstreamIndex aIndex);
   void Forget(UpstreamIndex aIndex);
   ServicePool& PoolOf(UpstreamIndex aIndex);
 
   const RouterOptions& mOptions;
-  std::vector<UpstreamFigures> mFigures;
+  std::vector<UpstreamStats> mStats;
   std::vector<UpstreamDetail> mDetails;
   std::vector<UpstreamIndex> mFree;
   std::unordered_map<UpstreamName, UpstreamIndex> mByName;
--- a/src/runtime/ControlDecider.cpp
+++ b/src/runtime/ControlDecider.cpp
@@ -63,7 +63,7 @@
   : mNode(std::move(aNode))
   , mParts(std::move(aParts))
   , mRegistry(membership::UpstreamRegistryOptions{
-      .mLife = membership::RegistryLife(RandomNumber()) })
+      .mRegistryIncarnation = membership::RegistryIncarnation(RandomNumber()) })
 {
   if (mParts.mDuties != nullptr) {
     mDuties.emplace(
@@ -75,7 +75,7 @@
         mLastCall = mLastCall.Next();
         Step(control::OperatorEvent{ mLastCall, std::move(aRequest) });
       },
-      [this](const Address& aTo, gateway::SharedMessage aMessage) {
+      [this](const Address& aTo, gateway::PeerMessage aMessage) {
         SendPeer(aTo, std::move(aMessage));
       });
   }
@@ -157,9 +157,10 @@
 }
 
 void
-ControlDecider::LogOrder(const control::OperatorAnswer& aAnswer)
+ControlDecider::LogOrder(const control::OperatorResponse& aAnswer)
 {
-  if (const auto* order = std::get_if<control::RolloutOrderAnswer>(&aAnswer)) {
+  if (const auto* order =
+        std::get_if<control::RolloutOrderResponse>(&aAnswer)) {
     mParts.mLogger.Log(
       observe::EventId::kRolloutOrdered,
       { { "rollout", order->mLatest.mId },
@@ -191,7 +192,7 @@
   }
   const membership::UpstreamReport report = aCall.mReport;
   const std::uint64_t before = mRegistry.Version();
-  auto sends = mRegistry.TakeReport(report, mNow);
+  auto sends = mRegistry.HandleHeartbeat(report, mNow);
   // Entries are told before the upstream is answered: it counts the time
   // until it gets no more work from the answer.
   if (mRegistry.Version() != before) {
@@ -224,12 +225,13 @@
 }
 
 void
-ControlDecider::Take(HttpInput& aInput, GoodbyeCall& aCall)
+ControlDecider::Take(HttpInput& aInput, DeregisterCall& aCall)
 {
   if (RefuseAnnouncement(aInput)) {
     return;
   }
-  auto sends = mRegistry.TakeGoodbye(aCall.mName, aCall.mIncarnation, mNow);
+  auto sends =
+    mRegistry.HandleDeregistration(aCall.mName, aCall.mIncarnation, mNow);
   mParts.mLogger.Log(observe::EventId::kUpstreamLeaving,
                      { { "upstream", aCall.mName },
                        { "stage", "gone" },
@@ -267,7 +269,7 @@
                              const membership::RegistryMessage& aMessage)
 {
   if (const auto* pull = std::get_if<membership::RegistryPull>(&aMessage)) {
-    SendAll(mRegistry.TakePull(aFrom, *pull, mNow));
+    SendAll(mRegistry.HandlePull(aFrom, *pull, mNow));
   } else if (mDuties) {
     const auto& push = std::get<membership::RegistryPush>(aMessage);
     mDuties->TakePush(aFrom, push, mNow);
@@ -291,14 +293,14 @@
     }
   }
   for (const auto& send :
-       mRegistry.TakePull(self, mDuties->PullFor(self), mNow)) {
+       mRegistry.HandlePull(self, mDuties->PullFor(self), mNow)) {
     mDuties->TakePush(self, send.mPush, mNow);
   }
 }
 
 void
 ControlDecider::TakeShared(const Address& aFrom,
-                           const gateway::SharedMessage& aMessage)
+                           const gateway::PeerMessage& aMessage)
 {
   if (!mDuties) {
     return;
@@ -340,8 +342,7 @@
   } else if (const auto* registry =
                std::get_if<membership::RegistryMessage>(&payload)) {
     TakeRegistry(aInput.mEnvelope.mFrom, *registry);
-  } else if (const auto* shared =
-               std::get_if<gateway::SharedMessage>(&payload)) {
+  } else if (const auto* shared = std::get_if<gateway::PeerMessage>(&payload)) {
     TakeShared(aInput.mEnvelope.mFrom, *shared);
   }
 }
@@ -401,7 +402,7 @@
 }
 
 void
-ControlDecider::Carry(const control::AnswerEffect& aEffect)
+ControlDecider::Carry(const control::ResponseEffect& aEffect)
 {
   const auto call = mCalls.find(aEffect.mCall);
   if (call == mCalls.end()) {
--- a/src/runtime/ControlDecider.h
+++ b/src/runtime/ControlDecider.h
@@ -52,23 +52,23 @@
   void StampTime(control::OperatorRequest& aRequest) const;
   bool RefuseRollout(HttpInput& aInput,
                      const control::OperatorRequest& aRequest);
-  void LogOrder(const control::OperatorAnswer& aAnswer);
+  void LogOrder(const control::OperatorResponse& aAnswer);
   void Take(HttpInput& aInput, AnnounceCall& aCall);
-  void Take(HttpInput& aInput, GoodbyeCall& aCall);
+  void Take(HttpInput& aInput, DeregisterCall& aCall);
   bool RefuseAnnouncement(HttpInput& aInput);
   void Take(HttpInput& aInput, DirectoryCall& aCall);
   void Take(HttpInput& aInput, AnsweredCall& aCall);
   void TakeRegistry(const Address& aFrom,
                     const membership::RegistryMessage& aMessage);
   void PullRegistries();
-  void TakeShared(const Address& aFrom, const gateway::SharedMessage& aMessage);
+  void TakeShared(const Address& aFrom, const gateway::PeerMessage& aMessage);
   void SendAll(std::vector<membership::RegistrySend> aSends);
 
   void Step(const control::ControlEvent& aEvent);
   void Carry(const control::ToReplicaEffect& aEffect);
   void Carry(const control::ToEntryEffect& aEffect);
   void Carry(const control::PersistEffect& aEffect);
-  void Carry(const control::AnswerEffect& aEffect);
+  void Carry(const control::ResponseEffect& aEffect);
   void Carry(const control::NoticeEffect& aEffect);
   void SendPeer(const Address& aTo, wire::PeerPayload aPayload);
   void Remember(const Address& aFrom, membership::EntryNonce aNonce);
--- a/src/runtime/DutyRunner.cpp
+++ b/src/runtime/DutyRunner.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint64_t kOwnClock = 0;
 
 std::string
-TextOf(const fleet::DutyCall& aCall)
+TextOf(const fleet::CloudCall& aCall)
 {
   return std::visit(
     Overloaded{ [](const gateway::UsageWindow& aWindow) {
@@ -51,7 +51,7 @@
   , mLogger(aLogger)
   , mPropose(std::move(aPropose))
   , mTell(std::move(aTell))
-  , mDesk(aOptions.mDuties)
+  , mTasks(aOptions.mDuties)
   , mBank(aOptions.mQuota, 0, 0, {}, TimePoint())
   , mRollouts(aOptions.mRollout)
 {
@@ -73,12 +73,12 @@
 
 void
 DutyRunner::Take(const Address& aFrom,
-                 const gateway::SharedMessage& aMessage,
+                 const gateway::PeerMessage& aMessage,
                  const control::ControlNode& aNode,
                  TimePoint aNow)
 {
   if (const auto* report = std::get_if<gateway::UsageReport>(&aMessage)) {
-    mDesk.TakeReport(*report, aNow);
+    mTasks.RecordReport(*report, aNow);
   }
   if (!aNode.Leads(aNow)) {
     return;
@@ -91,18 +91,20 @@
       [&](const gateway::UsageReport& aReport) {
         TakeReport(aFrom, aReport, aNode, aNow);
       },
-      [&](const gateway::QuotaAsk& aAsk) { TakeAsk(aFrom, aAsk, aNode, aNow); },
+      [&](const gateway::QuotaRequest& aAsk) {
+        TakeAsk(aFrom, aAsk, aNode, aNow);
+      },
       [&](const routing::CrashReport& aReport) {
-        mTell(aFrom, mQuarantine.Take(aFrom, aReport, table, aNow));
+        mTell(aFrom, mQuarantine.HandleReport(aFrom, aReport, table, aNow));
       },
-      [&](const routing::TurnAsk& aAsk) {
-        mTell(aFrom, mQuarantine.Take(aFrom, aAsk, table, aNow));
+      [&](const routing::PermitRequest& aAsk) {
+        mTell(aFrom, mQuarantine.HandlePermitRequest(aFrom, aAsk, table, aNow));
       },
       [&](const rollout::RolloutReport& aReport) {
         TakeReport(aFrom, aReport, aNode, aNow);
       },
-      [&](const routing::TurnEnded& aEnded) {
-        mQuarantine.Take(aFrom, aEnded, aNow);
+      [&](const routing::RunEnded& aEnded) {
+        mQuarantine.HandleRunEnded(aFrom, aEnded, aNow);
       },
       [](const auto&) {} },
     aMessage);
@@ -110,15 +112,15 @@
 
 void
 DutyRunner::TakeAsk(const Address& aFrom,
-                    const gateway::QuotaAsk& aAsk,
+                    const gateway::QuotaRequest& aAsk,
                     const control::ControlNode& aNode,
                     TimePoint aNow)
 {
-  if (mBank.TakeCommitted(aNode.State().mQuotaFloors)) {
+  if (mBank.ApplyCommittedFloors(aNode.State().mQuotaFloors)) {
     AnswerHeld(aNow);
   }
-  gateway::QuotaGrant grant = mBank.Ask(aFrom, aAsk, aNow);
-  if (!grant.mVerdicts.empty()) {
+  gateway::QuotaResponse grant = mBank.HandleRequest(aFrom, aAsk, aNow);
+  if (!grant.mResults.empty()) {
     mTell(aFrom, std::move(grant));
   }
   ProposeFloors(aNow);
@@ -127,15 +129,16 @@
 void
 DutyRunner::AnswerHeld(TimePoint aNow)
 {
-  for (gateway::QuotaAnswerTo& answer : mBank.TakeAnswered(aNow)) {
-    mTell(answer.mTo, std::move(answer.mGrant));
+  for (gateway::AddressedQuotaResponse& answer :
+       mBank.TakeDeferredResponses(aNow)) {
+    mTell(answer.mTo, std::move(answer.mResponse));
   }
 }
 
 void
 DutyRunner::ProposeFloors(TimePoint aNow)
 {
-  if (auto floors = mBank.Due(aNow)) {
+  if (auto floors = mBank.ProposeFloors(aNow)) {
     mPropose(control::QuotaFloorsRequest{ std::move(*floors) });
   }
 }
@@ -146,18 +149,18 @@
                        const control::ControlNode& aNode,
                        TimePoint aNow)
 {
-  if (const auto micros = mDesk.CommonMicros(aNow)) {
-    mTell(aFrom, gateway::CommonTime{ *micros });
+  if (const auto micros = mTasks.CommonMicros(aNow)) {
+    mTell(aFrom, gateway::MedianTime{ *micros });
   }
-  for (const ContentId& content : aReport.mCameAgain) {
-    mQuarantine.CameAgain(content, aNow);
+  for (const ContentId& content : aReport.mResubmittedContents) {
+    mQuarantine.RecordResubmission(content, aNow);
   }
   if (mBank.HasLimits()) {
     mTell(aFrom, mBank.Renew(aFrom, aReport.mQuotaLease, aNow));
   }
   Heard& heard = mHeard[aFrom];
   heard.mQuarantine = aReport.mQuarantine;
-  heard.mLife = aReport.mLife;
+  heard.mLife = aReport.mEntryIncarnation;
   TellQuarantine(aFrom, heard, aNode.State().mQuarantine);
   if (aReport.mRollouts != aNode.State().mRollouts.mNumber) {
     TellRollouts(aFrom, heard, aNode);
@@ -172,7 +175,7 @@
                            const routing::QuarantineTable& aTable)
 {
   if (aHeard.mQuarantine != aTable.mNumber) {
-    mTell(aTo, aTable.Since(aHeard.mQuarantine));
+    mTell(aTo, aTable.UpdateSince(aHeard.mQuarantine));
     aHeard.mQuarantine = aTable.mNumber;
   }
 }
@@ -188,12 +191,12 @@
       TellQuarantine(address, heard, table);
     }
   }
-  auto changes = mQuarantine.Due(table, aNow);
+  auto changes = mQuarantine.PendingChanges(table, aNow);
   if (!changes.empty()) {
     std::for_each(changes.begin(), changes.end(), [&](const auto& aChange) {
       LogChange(aChange);
     });
-    mPropose(control::TreatRequest{ std::move(changes) });
+    mPropose(control::QuarantineChangeRequest{ std::move(changes) });
   }
 }
 
@@ -218,7 +221,7 @@
                      const membership::RegistryPush& aPush,
                      TimePoint aNow)
 {
-  mDirectory.Take(aFrom, aPush, aNow);
+  mDirectory.ApplyPush(aFrom, aPush, aNow);
 }
 
 // A new leader begins with what the log says of the accounts of earlier ones.
@@ -230,12 +233,12 @@
     mLed = true;
     mRevision = Revision();
     mEpoch = EpochNumber();
-    mBank = gateway::QuotaBank(mOptions.mQuota,
-                               RandomNumber(),
-                               aNode.CurrentTerm().Value(),
-                               aNode.State().mQuotaFloors,
-                               aNow);
-    mQuarantine = routing::QuarantineBank(aNode.State().mQuarantine, aNow);
+    mBank = gateway::QuotaAllocator(mOptions.mQuota,
+                                    RandomNumber(),
+                                    aNode.CurrentTerm().Value(),
+                                    aNode.State().mQuotaFloors,
+                                    aNow);
+    mQuarantine = routing::QuarantineManager(aNode.State().mQuarantine, aNow);
     mRollouts = rollout::RolloutController(mOptions.mRollout);
     mHeard.clear();
   }
@@ -246,7 +249,7 @@
     for (const membership::Member& member : members.mMembers) {
       entries.push_back(member.mPeerAddress);
     }
-    mBank.UseEntries(entries, aNow);
+    mBank.SetEntries(entries, aNow);
   }
   if (settings.mRevision == mRevision || !mDialect.mReadDocument) {
     return;
@@ -257,7 +260,7 @@
   const auto text = UnpackText(settings.mText);
   mTable = text ? mDialect.mReadDocument(*text, reason) : std::nullopt;
   if (mTable) {
-    mBank.Use(mTable->Source().mCustomers, aNow);
+    mBank.SetCustomers(mTable->Source().mCustomers, aNow);
     if (begins) {
       OfferLeases(aNode, aNow);
       mLogger.Log(observe::EventId::kLimitAccountsBegun,
@@ -288,14 +291,14 @@
     return;
   }
   mLimitsLoggedAt = aNow;
-  for (const gateway::QuotaFigures& one : mBank.TakeFigures()) {
+  for (const gateway::QuotaStatistics& one : mBank.TakeStatistics()) {
     mLogger.Log(observe::EventId::kLimitAccount,
                 { { "customer", one.mCustomer },
                   { "granted", one.mGranted },
-                  { "stock", one.mStock },
+                  { "stock", one.mPrefetched },
                   { "refused", one.mRefused },
                   { "balance", one.mBalance },
-                  { "most", one.mMost } });
+                  { "most", one.mMaxBalance } });
   }
 }
 
@@ -310,15 +313,15 @@
 void
 DutyRunner::KeepLimits(const control::ControlNode& aNode, TimePoint aNow)
 {
-  mBank.TakeCommitted(aNode.State().mQuotaFloors);
+  mBank.ApplyCommittedFloors(aNode.State().mQuotaFloors);
   AnswerHeld(aNow);
   ProposeFloors(aNow);
-  const std::size_t uncovered = mBank.Leases().Uncovered();
+  const std::size_t uncovered = mBank.Leases().UnleasedEntries();
   if (uncovered != mUncovered) {
     mUncovered = uncovered;
     mLogger.Log(observe::EventId::kLimitFlow,
-                { { "part", mBank.FlowPart() },
-                  { "entries", mBank.Leases().Entries() },
+                { { "part", mBank.LeaderShare() },
+                  { "entries", mBank.Leases().MemberCount() },
                   { "uncovered", uncovered } });
   }
   LogLimits(aNow);
@@ -334,7 +337,7 @@
   const bool leads = aNode.Leads(aNow);
   if (leads) {
     UseSettings(aNode, aNow);
-    mDesk.TakeWall(kOwnClock, ReadWallMicros(), aNow);
+    mTasks.RecordWallClock(kOwnClock, ReadWallMicros(), aNow);
     mDirectory.Forget(aNow);
     ForgetSilent(aNow);
     KeepLimits(aNode, aNow);
@@ -348,23 +351,24 @@
   }
   const auto pools = Pools(aNode.State().mRollouts, aNow);
   const auto effects =
-    mDesk.Tick(fleet::DutyView{ .mLeads = leads,
-                                .mTerm = aNode.CurrentTerm().Value(),
-                                .mCommitted = &aNode.State().mUsage,
-                                .mTable = mTable ? &*mTable : nullptr,
-                                .mPools = &pools },
-               aNow);
-  for (const fleet::DutyEffect& effect : effects) {
-    std::visit(Overloaded{ [&](const fleet::CommitUsage& aOne) {
-                            mPropose(control::UsageRequest{ aOne.mWindow });
-                          },
-                           [&](const fleet::CallCloud& aOne) { Call(aOne); } },
-               effect);
+    mTasks.Tick(fleet::LeaderTaskView{ .mLeads = leads,
+                                       .mTerm = aNode.CurrentTerm().Value(),
+                                       .mCommitted = &aNode.State().mUsage,
+                                       .mTable = mTable ? &*mTable : nullptr,
+                                       .mPools = &pools },
+                aNow);
+  for (const fleet::LeaderTaskEffect& effect : effects) {
+    std::visit(
+      Overloaded{ [&](const fleet::CommitUsage& aOne) {
+                   mPropose(control::UsageRequest{ aOne.mWindow });
+                 },
+                  [&](const fleet::SendCloudCall& aOne) { Call(aOne); } },
+      effect);
   }
 }
 
 void
-DutyRunner::Call(const fleet::CallCloud& aCall)
+DutyRunner::Call(const fleet::SendCloudCall& aCall)
 {
   mCalls[aCall.mNumber] = TextOf(aCall.mCall);
   mLogger.Log(observe::EventId::kDutyCalled,
@@ -386,7 +390,7 @@
                 { "what", mCalls[aInput.mNumber] },
                 { "status", aInput.mStatus } });
   mCalls.erase(aInput.mNumber);
-  mDesk.TakeResult(aInput.mNumber, aInput.mStatus, aNow);
+  mTasks.HandleResult(aInput.mNumber, aInput.mStatus, aNow);
 }
 
 } // namespace peridotspool::runtime
--- a/src/runtime/DutyRunner.h
+++ b/src/runtime/DutyRunner.h
@@ -1,13 +1,13 @@
 #pragma once
 
 #include "peridotspool/control/ControlNode.h"
-#include "peridotspool/fleet/DutyDesk.h"
-#include "peridotspool/gateway/QuotaBank.h"
+#include "peridotspool/fleet/LeaderTaskManager.h"
+#include "peridotspool/gateway/QuotaAllocator.h"
 #include "peridotspool/http/HttpClient.h"
 #include "peridotspool/membership/UpstreamDirectory.h"
 #include "peridotspool/observe/Logger.h"
 #include "peridotspool/rollout/RolloutController.h"
-#include "peridotspool/routing/QuarantineBank.h"
+#include "peridotspool/routing/QuarantineManager.h"
 #include "peridotspool/runtime/ControlHostOptions.h"
 
 #include <functional>
@@ -34,7 +34,7 @@
 public:
   using TakeCloud = std::function<void(CloudInput)>;
   using Propose = std::function<void(control::OperatorRequest)>;
-  using Tell = std::function<void(const Address&, gateway::SharedMessage)>;
+  using Tell = std::function<void(const Address&, gateway::PeerMessage)>;
 
   DutyRunner(const DutyHostOptions& aOptions,
              const ControlDialect& aDialect,
@@ -45,7 +45,7 @@
 
   /** Takes what an entry says, and answers it where this replica leads. */
   void Take(const Address& aFrom,
-            const gateway::SharedMessage& aMessage,
+            const gateway::PeerMessage& aMessage,
             const control::ControlNode& aNode,
             TimePoint aNow);
   void TakePush(const Address& aFrom,
@@ -96,7 +96,7 @@
   void OfferLeases(const control::ControlNode& aNode, TimePoint aNow);
   void LogLimits(TimePoint aNow);
   void TakeAsk(const Address& aFrom,
-               const gateway::QuotaAsk& aAsk,
+               const gateway::QuotaRequest& aAsk,
                const control::ControlNode& aNode,
                TimePoint aNow);
   void AnswerHeld(TimePoint aNow);
@@ -107,16 +107,16 @@
   std::map<ServiceName, fleet::PoolView> Pools(
     const rollout::RolloutTable& aRollouts,
     TimePoint aNow) const;
-  void Call(const fleet::CallCloud& aCall);
+  void Call(const fleet::SendCloudCall& aCall);
 
   DutyHostOptions mOptions;
   const ControlDialect& mDialect;
   observe::Logger& mLogger;
   Propose mPropose;
   Tell mTell;
-  fleet::DutyDesk mDesk;
-  gateway::QuotaBank mBank;
-  routing::QuarantineBank mQuarantine;
+  fleet::LeaderTaskManager mTasks;
+  gateway::QuotaAllocator mBank;
+  routing::QuarantineManager mQuarantine;
   rollout::RolloutController mRollouts;
   /** The last start or end of a rollout that all entries were told of. */
   std::uint64_t mRolloutsTold = 0;
--- a/src/runtime/GatewayRelay.cpp
+++ b/src/runtime/GatewayRelay.cpp
@@ -110,39 +110,40 @@
   mCore.reset(new gateway::GatewayCore{
     .mIo = mIo,
     .mNames = mDialect.mNames,
-    .mBoard = gateway::UpstreamBoard({ .mDomain = mSettings.mDomain }),
-    .mBudget =
-      gateway::RepeatBudget({ .mRatio = mSettings.mShared.mRetryRatio,
-                              .mExtra = mSettings.mShared.mRetryExtra,
-                              .mWindow = mSettings.mShared.mRetryWindow,
-                              .mEntries = 32,
-                              .mStartedAt = ReadClock() }),
+    .mSelector = gateway::UpstreamSelector({ .mDomain = mSettings.mDomain }),
+    .mRetryBudget = gateway::ServiceRetryBudget(
+      { .mRatio = mSettings.mShared.mRetryRatio,
+        .mFixedAllowance = mSettings.mShared.mRetryExtra,
+        .mWindow = mSettings.mShared.mRetryWindow,
+        .mEntryCount = 32,
+        .mStartedAt = ReadClock() }),
     .mPool = {},
     .mLogger = *mLogger,
     .mCounters = mCounters,
     .mNow = ReadClock,
     .mQuota = {},
     .mUsage =
-      gateway::UsageTally(mSettings.mDuties.mUsageWindow, RandomNumber()),
-    .mTellLeader =
-      [this](gateway::SharedMessage aMessage) {
+      gateway::UsageCounter(mSettings.mDuties.mUsageWindow, RandomNumber()),
+    .mSendToLeader =
+      [this](gateway::PeerMessage aMessage) {
         if (mLeader) {
           SendPeer(*mLeader, std::move(aMessage));
         }
       },
-    .mKeepers = {},
-    .mKeeper = {},
-    .mInquiries = {},
-    .mTellEntry =
-      [this](const Address& aTo, gateway::SharedMessage aMessage) {
+    .mCoordinators = {},
+    .mCoordinator = {},
+    .mLoadQueries = {},
+    .mSendToEntry =
+      [this](const Address& aTo, gateway::PeerMessage aMessage) {
         TellEntry(aTo, std::move(aMessage));
       },
-    .mLastSend = RandomNumber(),
-    .mWall = ReadWallMicros,
-    .mWaiting = {},
-    .mAsking = {},
-    .mStartPlan = gateway::StartPlan({ .mWithin = kStartsFor }, ReadClock()),
-    .mStarting = {},
+    .mLastSendId = RandomNumber(),
+    .mWallClock = ReadWallMicros,
+    .mQuotaWaiters = {},
+    .mLoadWaiters = {},
+    .mStartupPolicy =
+      gateway::StartupPolicy({ .mStartupPeriod = kStartsFor }, ReadClock()),
+    .mStartupWaiters = {},
     .mTable = nullptr });
   mFeed.emplace(*mCore);
   mGateway = std::make_unique<gateway::Gateway>(
@@ -180,14 +181,14 @@
   Step(membership::SessionTickEvent{});
   PullUpstreams(now);
   Decide(mCore->mQuota.Tick(now));
-  if (auto returns = mCore->mQuota.TakeReturns()) {
-    mCore->mTellLeader(std::move(*returns));
+  if (auto returns = mCore->mQuota.TakePendingReturns()) {
+    mCore->mSendToLeader(std::move(*returns));
   }
   mCounters.Set(observe::CounterId::kLimitUnitsLate,
                 static_cast<std::uint64_t>(mCore->mQuota.LateUnits()));
-  mCore->mKeeper.Forget(now);
-  mCore->WakeStarting();
-  mCore->TickGate();
+  mCore->mCoordinator.RemoveExpired(now);
+  mCore->ResumeStartupWaiters();
+  mCore->TickQuarantine();
   ReportUsage(now);
   mTraffic.Tick(*mLogger, mCounters, now);
   NoteLostLeader(now);
@@ -234,16 +235,16 @@
   mReportedAt = aNow;
   const bool toAll = ++mReports % kFollowersEach == 0;
   gateway::UsageReport report = mCore->mUsage.Report(ReadWallMicros());
-  report.mRunning = mCore->mBoard.Running();
-  report.mQuarantine = mCore->mGate.Known();
+  report.mRunning = mCore->mSelector.Running();
+  report.mQuarantine = mCore->mQuarantineGate.KnownNumber();
   report.mRollouts = mCore->mRollouts.Number();
   report.mQuotaLease = mCore->mQuota.Lease();
-  const auto again = std::exchange(mCore->mCameAgain, {});
-  report.mCameAgain.assign(again.begin(), again.end());
+  const auto again = std::exchange(mCore->mResubmittedContents, {});
+  report.mResubmittedContents.assign(again.begin(), again.end());
   for (const Address& control : mSession->Voters()) {
     if (toAll || !mLeader || *mLeader == control) {
-      SendPeer(control, gateway::SharedMessage(report));
-      ReportRollouts(control, report.mLife, aNow);
+      SendPeer(control, gateway::PeerMessage(report));
+      ReportRollouts(control, report.mEntryIncarnation, aNow);
     }
   }
 }
@@ -258,15 +259,15 @@
   }
   const auto oldRunning = [this](const ServiceName& aService,
                                  const VersionName& aTo) {
-    return mCore->mBoard.RunningElsewhere(aService, aTo);
+    return mCore->mSelector.RunningOtherVersions(aService, aTo);
   };
   SendPeer(
     aTo,
-    gateway::SharedMessage(mCore->mRollouts.Report(aLife, oldRunning, aNow)));
+    gateway::PeerMessage(mCore->mRollouts.Report(aLife, oldRunning, aNow)));
 }
 
 void
-GatewayRelay::TellEntry(const Address& aTo, gateway::SharedMessage aMessage)
+GatewayRelay::TellEntry(const Address& aTo, gateway::PeerMessage aMessage)
 {
   if (aTo == mSettings.mListen.mPeer) {
     TakeShared(aTo, aMessage);
@@ -294,23 +295,24 @@
                { { "exchanges", mGateway->Exchanges() } });
   mCore->mStopping = true;
   mReady = false;
-  mCore->mStopPlan.emplace(
-    gateway::StopPlanOptions{ .mGrace = mSettings.mStopGrace }, ReadClock());
+  mCore->mShutdownPolicy.emplace(
+    gateway::ShutdownPolicyOptions{ .mGrace = mSettings.mStopGrace },
+    ReadClock());
   Step(membership::LeaveEvent{});
 }
 
 bool
 GatewayRelay::GoOnStopping(TimePoint aNow)
 {
-  const auto stage = mCore->mStopPlan->Step(mGateway->IsQuiet(), aNow);
-  if (stage != gateway::StopStage::kTakesRequests && !mCore->mRefusing) {
+  const auto stage = mCore->mShutdownPolicy->Step(mGateway->IsQuiet(), aNow);
+  if (stage != gateway::ShutdownStage::kAccepting && !mCore->mRefusing) {
     mCore->mRefusing = true;
     mGateway->CloseIdle();
   }
-  if (stage != gateway::StopStage::kOver) {
+  if (stage != gateway::ShutdownStage::kComplete) {
     return false;
   }
-  Step(membership::LeftNothingEvent{});
+  Step(membership::HandoverCompleteEvent{});
   return true;
 }
 
--- a/src/runtime/GatewayRelaySession.cpp
+++ b/src/runtime/GatewayRelaySession.cpp
@@ -73,7 +73,7 @@
       TakePush(aEnvelope.mFrom, *push);
     }
   } else if (const auto* shared =
-               std::get_if<gateway::SharedMessage>(&aEnvelope.mPayload)) {
+               std::get_if<gateway::PeerMessage>(&aEnvelope.mPayload)) {
     TakeShared(aEnvelope.mFrom, *shared);
   }
 }
@@ -89,9 +89,9 @@
     std::count_if(controls.begin(), controls.end(), [&](const Address& aOne) {
       return mFeed->Knows(aOne);
     });
-  mCore->mStartPlan.TakeNews(
+  mCore->mStartupPolicy.RecordUpdates(
     static_cast<std::size_t>(heard), controls.size(), now);
-  mCore->WakeStarting();
+  mCore->ResumeStartupWaiters();
   SendPull(aFrom);
 }
 
@@ -99,7 +99,7 @@
 GatewayRelay::NoteLeader(const Address& aFrom,
                          const membership::ToEntryMessage& aMessage)
 {
-  const auto* answer = std::get_if<membership::HeartbeatAnswer>(&aMessage);
+  const auto* answer = std::get_if<membership::HeartbeatResponse>(&aMessage);
   if (answer == nullptr || !answer->mLeads) {
     return;
   }
@@ -118,9 +118,9 @@
   mLogger->Log(EventId::kControlRegained, { { "leader", ToText(aLeader) } });
   mLeader = aLeader;
   mLeaderHeardAt = ReadClock();
-  mCore->mCrashes.MeetLeader();
-  if (auto again = mCore->mQuota.AskAgain(); !again.mLines.empty()) {
-    mCore->mTellLeader(std::move(again));
+  mCore->mCrashReporter.OnNewLeader();
+  if (auto again = mCore->mQuota.PendingRequest(); !again.mItems.empty()) {
+    mCore->mSendToLeader(std::move(again));
   }
   mReportedAt = TimePoint();
   ReportUsage(mLeaderHeardAt);
@@ -128,46 +128,61 @@
 
 void
 GatewayRelay::TakeShared(const Address& aFrom,
-                         const gateway::SharedMessage& aMessage)
+                         const gateway::PeerMessage& aMessage)
 {
   const TimePoint now = ReadClock();
-  std::visit(
-    Overloaded{
-      [&](const gateway::QuotaGrant& aGrant) {
-        Decide(mCore->mQuota.TakeGrant(aGrant));
-      },
-      [&](const gateway::QuotaLease& aLease) {
-        if (mCore->mQuota.TakeLease(aLease, now)) {
-          MeetLeader(aFrom);
-        }
-      },
-      [&](const gateway::CommonTime& aTime) {
-        mCore->mUsage.TakeTime(aTime.mMicros, now);
-      },
-      [&](const gateway::LoadAsk& aAsk) {
-        TellEntry(aFrom, mCore->mKeeper.Answer(aAsk, now));
-      },
-      [&](const gateway::LoadTold& aTold) { mCore->TakeTold(aTold); },
-      [&](const routing::CrashTaken& aTaken) { mCore->mCrashes.Take(aTaken); },
-      [&](const routing::TurnAnswer& aTurn) { mCore->TakeTurn(aTurn); },
-      [&](const routing::QuarantineTold& aTold) { mCore->TakeTold(aTold); },
-      [&](const rollout::RolloutUpdate& aUpdate) { mCore->Take(aUpdate); },
-      [&](const gateway::LoadSent& aOne) { mCore->mKeeper.Take(aOne, now); },
-      [&](const gateway::LoadBegun& aOne) { mCore->mKeeper.Take(aOne, now); },
-      [&](const gateway::LoadEnded& aOne) { mCore->mKeeper.Take(aOne, now); },
-      // What else there is goes to the leader.
-      [](const auto& /*aOther*/) {} },
-    aMessage);
+  std::visit(Overloaded{ [&](const gateway::QuotaResponse& aGrant) {
+                          Decide(mCore->mQuota.HandleResponse(aGrant));
+                        },
+                         [&](const gateway::QuotaLease& aLease) {
+                           if (mCore->mQuota.HandleLease(aLease, now)) {
+                             MeetLeader(aFrom);
+                           }
+                         },
+                         [&](const gateway::MedianTime& aTime) {
+                           mCore->mUsage.SetMedianTime(aTime.mMicros, now);
+                         },
+                         [&](const gateway::LoadQuery& aAsk) {
+                           TellEntry(
+                             aFrom, mCore->mCoordinator.HandleQuery(aAsk, now));
+                         },
+                         [&](const gateway::LoadResponse& aTold) {
+                           mCore->HandleLoadResponse(aTold);
+                         },
+                         [&](const routing::CrashReportAck& aTaken) {
+                           mCore->mCrashReporter.OnAck(aTaken);
+                         },
+                         [&](const routing::PermitResponse& aTurn) {
+                           mCore->HandlePermitResponse(aTurn);
+                         },
+                         [&](const routing::QuarantineUpdate& aTold) {
+                           mCore->HandleQuarantineUpdate(aTold);
+                         },
+                         [&](const rollout::RolloutUpdate& aUpdate) {
+                           mCore->HandleRolloutUpdate(aUpdate);
+                         },
+                         [&](const gateway::SendStartedReport& aOne) {
+                           mCore->mCoordinator.Handle(aOne, now);
+                         },
+                         [&](const gateway::PrefillDoneReport& aOne) {
+                           mCore->mCoordinator.Handle(aOne, now);
+                         },
+                         [&](const gateway::SendEndedReport& aOne) {
+                           mCore->mCoordinator.Handle(aOne, now);
+                         }, // What else there is goes to the leader.
+                         [](const auto& /*aOther*/) {} },
+             aMessage);
 }
 
 void
-GatewayRelay::Decide(const std::vector<gateway::QuotaDecided>& aDecided)
+GatewayRelay::Decide(
+  const std::vector<gateway::DeferredQuotaDecision>& aDecided)
 {
-  for (const gateway::QuotaDecided& one : aDecided) {
-    const auto waiting = mCore->mWaiting.find(one.mTag);
-    if (waiting != mCore->mWaiting.end()) {
+  for (const gateway::DeferredQuotaDecision& one : aDecided) {
+    const auto waiting = mCore->mQuotaWaiters.find(one.mTag);
+    if (waiting != mCore->mQuotaWaiters.end()) {
       const auto call = std::move(waiting->second);
-      mCore->mWaiting.erase(waiting);
+      mCore->mQuotaWaiters.erase(waiting);
       call(one);
     }
   }
@@ -245,7 +260,7 @@
                    { "routes", mCore->mTable->Source().mRoutes.size() } });
   }
   mReady = !mCore->mStopping;
-  mCore->WakeStarting();
+  mCore->ResumeStartupWaiters();
   const Revision revision = aEffect.mRevision;
   net::post(mIo, [this, revision] {
     Step(membership::SettingsInForceEvent{ revision });
@@ -257,15 +272,15 @@
 {
   const std::size_t members = aEffect.mMap.mMembers.size();
   // One that is leaving hands its accounts over while it still serves.
-  std::vector<gateway::Keeper> keepers;
+  std::vector<gateway::Coordinator> keepers;
   for (const membership::Member& member : aEffect.mMap.mMembers) {
     if (member.mState == membership::MemberState::kActive) {
       keepers.push_back(
         { .mAddress = member.mPeerAddress, .mDomain = member.mDomain });
     }
   }
-  mCore->mKeepers.Use(std::move(keepers));
-  mCore->mBudget.UseEntries(members + kUnknownEntries);
+  mCore->mCoordinators.Set(std::move(keepers));
+  mCore->mRetryBudget.SetEntryCount(members + kUnknownEntries);
   mCounters.Set(observe::CounterId::kMembersKnown, members);
   mLogger->Log(EventId::kEpochChanged,
                { { "epoch", aEffect.mMap.mEpoch }, { "members", members } });
--- a/src/runtime/StatusJson.h
+++ b/src/runtime/StatusJson.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peridotspool/control/OperatorAnswer.h"
+#include "peridotspool/control/OperatorResponse.h"
 #include "peridotspool/observe/Counters.h"
 #include "peridotspool/request/EntryNode.h"
 
@@ -21,6 +21,6 @@
 
 /** The answer of `GET /v1/entries`. */
 std::string
-DirectoryJson(const membership::DirectoryAnswer& aAnswer);
+DirectoryJson(const membership::DirectoryResponse& aAnswer);
 
 } // namespace peridotspool::runtime
--- a/src/runtime/UpstreamFeed.cpp
+++ b/src/runtime/UpstreamFeed.cpp
@@ -10,7 +10,7 @@
                    const membership::RegistryPush& aPush,
                    TimePoint aNow)
 {
-  for (const UpstreamName& name : mDirectory.Take(aFrom, aPush, aNow)) {
+  for (const UpstreamName& name : mDirectory.ApplyPush(aFrom, aPush, aNow)) {
     Note(name, aFrom, aPush, aNow);
   }
 }
@@ -23,7 +23,7 @@
 {
   const membership::KnownUpstream* known = mDirectory.Find(aName);
   const bool ready = known->mReport.mStage == UpstreamStage::kReady;
-  const bool restarted = mCore.mBoard.Take(aName, known, aNow);
+  const bool restarted = mCore.mSelector.Update(aName, known, aNow);
   mCore.mLogger.Log(ready ? EventId::kUpstreamAnnounced
                           : EventId::kUpstreamLeaving,
                     { { "upstream", aName },
@@ -35,22 +35,22 @@
                       { "told_by", ToText(aFrom) },
                       { "version", aPush.mTo } });
   if (!ready || restarted) {
-    mCore.mPool.Forget(aName);
+    mCore.mPool.Remove(aName);
   }
-  for (const auto& ended : mCore.mWitness.Announced(
+  for (const auto& ended : mCore.mCrashWitness.Announced(
          { .mName = aName, .mIncarnation = known->mReport.mIncarnation },
          known->mReport.mAddress,
          aNow)) {
-    mCore.NoteEnded(ended);
+    mCore.OnUpstreamEnded(ended);
   }
 }
 
 void
 UpstreamFeed::Forget(TimePoint aNow)
 {
-  mCore.mWitness.Forget(aNow);
+  mCore.mCrashWitness.Forget(aNow);
   for (const UpstreamName& name : mDirectory.Forget(aNow)) {
-    mCore.mBoard.Take(name, nullptr, aNow);
+    mCore.mSelector.Update(name, nullptr, aNow);
   }
 }
 
--- a/test/control/ControlClusterFaults.cpp
+++ b/test/control/ControlClusterFaults.cpp
@@ -30,7 +30,7 @@
 ControlCluster::Crash(const std::string& aName)
 {
   ClusterProcess& process = Process(aName);
-  // Some of the writes under way may have reached the disk, in their order.
+  // Some of the pending writes may have reached the disk, in their order.
   const std::size_t reached = mRandom() % (process.mUnsynced.size() + 1);
   for (std::size_t write = 0; write < reached; ++write) {
     ApplyPersist(process.mDisk, process.mUnsynced[write]);
@@ -38,7 +38,7 @@
   process.mUnsynced.clear();
   process.mRunning = false;
   process.mFrozen = false;
-  ++process.mLife;
+  ++process.mIncarnation;
 }
 
 void
@@ -119,15 +119,15 @@
   return call;
 }
 
-std::optional<OperatorAnswer>
-ControlCluster::AnswerTo(CallId aCall) const
+std::optional<OperatorResponse>
+ControlCluster::ResponseTo(CallId aCall) const
 {
   const auto found = mAnswers.find(aCall);
   return found == mAnswers.end() ? std::nullopt : std::optional(found->second);
 }
 
-OperatorAnswer
-ControlCluster::AskLeader(const OperatorRequest& aRequest)
+OperatorResponse
+ControlCluster::RequestFromLeader(const OperatorRequest& aRequest)
 {
   constexpr int kTries = 50;
   for (int attempt = 0; attempt < kTries; ++attempt) {
@@ -137,29 +137,30 @@
       break;
     }
     const CallId call = Ask(leader, aRequest);
-    RunUntil([&] { return AnswerTo(call).has_value(); },
+    RunUntil([&] { return ResponseTo(call).has_value(); },
              std::chrono::seconds(10));
-    const auto answer = AnswerTo(call);
-    if (answer && !std::holds_alternative<NotLeaderAnswer>(*answer) &&
-        !std::holds_alternative<UncertainAnswer>(*answer)) {
+    const auto answer = ResponseTo(call);
+    if (answer && !std::holds_alternative<NotLeaderResponse>(*answer) &&
+        !std::holds_alternative<UncertainResponse>(*answer)) {
       return *answer;
     }
     Run(std::chrono::milliseconds(100));
   }
-  return RefusedAnswer{ "the test got no answer" };
+  return RefusedResponse{ "the test got no answer" };
 }
 
-EditAnswer
+EditResponse
 ControlCluster::Edit(const std::string& aEdit,
                      std::uint64_t aBase,
                      const std::string& aText)
 {
-  const OperatorAnswer answer = AskLeader(EditRequest{ .mEdit = EditId(aEdit),
-                                                       .mBase = Revision(aBase),
-                                                       .mText = aText,
-                                                       .mAuthor = "operator" });
-  const auto* edit = std::get_if<EditAnswer>(&answer);
-  return edit == nullptr ? EditAnswer{} : *edit;
+  const OperatorResponse answer =
+    RequestFromLeader(EditRequest{ .mEdit = EditId(aEdit),
+                                   .mBase = Revision(aBase),
+                                   .mText = aText,
+                                   .mAuthor = "operator" });
+  const auto* edit = std::get_if<EditResponse>(&answer);
+  return edit == nullptr ? EditResponse{} : *edit;
 }
 
 ClusterProcess&
--- a/test/control/ControlTimesTest.cpp
+++ b/test/control/ControlTimesTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Times of the simulated network, which are the same in every run. */
+/** Times in the simulated network, which are identical in every run. */
 std::vector<Duration>
 Failovers(int aCount)
 {
@@ -21,7 +21,7 @@
     cluster.Run(std::chrono::milliseconds(1000 + 37 * seed));
     const TimePoint before = cluster.RealNow();
     cluster.Crash(cluster.Leader());
-    const EditAnswer answer = cluster.Edit("edit-2", 1, "a: 2\n");
+    const EditResponse answer = cluster.Edit("edit-2", 1, "a: 2\n");
     REQUIRE(answer.mVerdict == EditVerdict::kCommitted);
     times.push_back(cluster.RealNow() - before);
   }
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("NextCommitComesWithinTwoSecondsOfTheLeadersDeath")
+TEST_CASE("NextCommitSucceedsWithinTwoSecondsOfALeaderCrash")
 {
   const std::vector<Duration> times = Failovers(100);
   INFO("median " << times[50].count() << " us, worst " << times[99].count());
@@ -50,8 +50,9 @@
   cluster.Run(std::chrono::seconds(2));
   const TimePoint before = cluster.RealNow();
   cluster.Edit("edit-2", 1, "a: 2\n");
-  const auto answer = std::get<InForceAnswer>(cluster.AskLeader(InForceRequest{
-    .mRevision = Revision(2), .mWait = std::chrono::seconds(7) }));
+  const auto answer =
+    std::get<InForceResponse>(cluster.RequestFromLeader(InForceRequest{
+      .mRevision = Revision(2), .mWait = std::chrono::seconds(7) }));
   const Duration took = cluster.RealNow() - before;
   INFO("took " << took.count() << " us");
   CHECK(answer.mInForce);
--- a/test/control/DifferentialTest.cpp
+++ b/test/control/DifferentialTest.cpp
@@ -13,16 +13,16 @@
 
 constexpr const char* kAll[] = { "control-1", "control-2", "control-3" };
 
-/** One edit that an operator sent, perhaps several times. */
+/** An edit that an operator sent once or several times. */
 struct SentEdit
 {
   EditRequest mRequest;
   std::vector<CallId> mCalls;
-  /** Revisions that were known as committed when it was first sent. */
+  /** The latest revision known to be committed when the edit was first sent. */
   Revision mKnownBefore;
 };
 
-/** A random run of the system, and what its operators saw. */
+/** A random run of the system and the responses that its operators received. */
 class RandomRun
 {
 public:
@@ -31,7 +31,7 @@
   void Disturb();
   void SendEdit();
   void Settle();
-  /** Compares what was answered with one list of edits. */
+  /** Compares the responses with a single list of edits. */
   std::vector<std::string> Differences();
 
   ControlCluster mCluster;
@@ -41,7 +41,7 @@
   const char* Any();
   void LoseOneDisk();
   Revision KnownCommitted() const;
-  std::vector<EditAnswer> AnswersTo(const SentEdit& aEdit) const;
+  std::vector<EditResponse> AnswersTo(const SentEdit& aEdit) const;
   void CompareAnswers(const SentEdit& aEdit,
                       const std::vector<SettingsChange>& aList,
                       std::vector<std::string>& aDifferences) const;
@@ -54,7 +54,7 @@
 {
   mCluster.mTune = [](ControlOptions& aOptions) {
     aOptions.mSnapshotEvery = 15;
-    aOptions.mConsensus.mKeepBehindSnapshot = 4;
+    aOptions.mConsensus.mEntriesRetainedBehindSnapshot = 4;
   };
   mCluster.mFaults.mMaxSync = std::chrono::milliseconds(20);
   mCluster.StartControls(3);
@@ -111,8 +111,8 @@
   }
 }
 
-// A disk is lost only while a majority of the others surely has the log: with
-// three replicas, one disk can be lost at a time.
+// A disk is lost only while a majority of the other replicas certainly has the
+// log. With three replicas, one disk can be lost at a time.
 void
 RandomRun::LoseOneDisk()
 {
@@ -180,14 +180,14 @@
   RC_ASSERT(whole);
 }
 
-std::vector<EditAnswer>
+std::vector<EditResponse>
 RandomRun::AnswersTo(const SentEdit& aEdit) const
 {
-  std::vector<EditAnswer> answers;
+  std::vector<EditResponse> answers;
   for (const CallId call : aEdit.mCalls) {
-    const auto answer = mCluster.AnswerTo(call);
-    if (answer && std::holds_alternative<EditAnswer>(*answer)) {
-      answers.push_back(std::get<EditAnswer>(*answer));
+    const auto answer = mCluster.ResponseTo(call);
+    if (answer && std::holds_alternative<EditResponse>(*answer)) {
+      answers.push_back(std::get<EditResponse>(*answer));
     }
   }
   return answers;
@@ -198,7 +198,7 @@
 {
   Revision known;
   for (const SentEdit& edit : mEdits) {
-    for (const EditAnswer& answer : AnswersTo(edit)) {
+    for (const EditResponse& answer : AnswersTo(edit)) {
       known = std::max(known, answer.mRevision);
     }
   }
@@ -211,7 +211,7 @@
                           std::vector<std::string>& aDifferences) const
 {
   const EditId& id = aEdit.mRequest.mEdit;
-  const std::vector<EditAnswer> answers = AnswersTo(aEdit);
+  const std::vector<EditResponse> answers = AnswersTo(aEdit);
   const auto differ = [&](const std::string& aWhat) {
     aDifferences.push_back(id.Value() + ": " + aWhat);
   };
@@ -219,7 +219,7 @@
     std::find_if(aList.begin(), aList.end(), [&](const auto& aChange) {
       return aChange.mEdit == id;
     });
-  for (const EditAnswer& answer : answers) {
+  for (const EditResponse& answer : answers) {
     if (answer != answers.front()) {
       differ("got two different answers");
     }
@@ -244,9 +244,9 @@
 std::vector<std::string>
 RandomRun::Differences()
 {
-  const OperatorAnswer answer =
-    mCluster.AskLeader(HistoryRequest{ .mLimit = 100000 });
-  std::vector<SettingsChange> list = std::get<HistoryAnswer>(answer).mChanges;
+  const OperatorResponse answer =
+    mCluster.RequestFromLeader(HistoryRequest{ .mLimit = 100000 });
+  std::vector<SettingsChange> list = std::get<HistoryResponse>(answer).mChanges;
   std::reverse(list.begin(), list.end());
   std::vector<std::string> differences = mCluster.Problems();
   std::string text;
@@ -271,10 +271,11 @@
 
 } // namespace
 
-// The replicated log and the settings service against one list of edits, under
-// loss, doubling, reordering, crashes that keep only what was synced (and some
-// of what was not), cuts, freezes, lost disks, and clocks that run apart.
-TEST_CASE("ReplicatedSettingsAreLikeOneListUnderFaults")
+// Compares the replicated log and the settings service with a single list of
+// edits under message loss, duplication and reordering, crashes that preserve
+// only synced data (and some unsynced data), partitions, frozen processes, lost
+// disks, and clocks with different rates.
+TEST_CASE("ReplicatedSettingsMatchASingleListUnderFaults")
 {
   rc::prop("operators can't tell the system from one list", [] {
     RandomRun run(*rc::gen::arbitrary<std::uint64_t>());
--- a/test/control/StateMachineTest.cpp
+++ b/test/control/StateMachineTest.cpp
@@ -9,19 +9,24 @@
 
 namespace {
 
-/** What the settings service must do, without any of its means. */
+/**
+ * A reference model of the settings service that shares none of its
+ * implementation.
+ */
 struct NaiveSettings
 {
   std::vector<std::pair<EditId, std::string>> mRevisions;
-  std::map<EditId, EditAnswer> mFirstAnswers;
+  std::map<EditId, EditResponse> mFirstAnswers;
 
-  EditAnswer Edit(const EditId& aEdit, Revision aBase, const std::string& aText)
+  EditResponse Edit(const EditId& aEdit,
+                    Revision aBase,
+                    const std::string& aText)
   {
     if (const auto known = mFirstAnswers.find(aEdit);
         known != mFirstAnswers.end()) {
       return known->second;
     }
-    EditAnswer answer;
+    EditResponse answer;
     if (aBase.Value() == mRevisions.size()) {
       mRevisions.emplace_back(aEdit, aText);
       answer = { EditVerdict::kCommitted, Revision(mRevisions.size()), {}, {} };
@@ -50,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("SettingsAreLikeOneNaiveList")
+TEST_CASE("SettingsMatchASimpleListModel")
 {
   rc::prop("answers, texts and history agree", [] {
     StateMachine machine({}, {});
@@ -61,7 +66,7 @@
       const EditId edit("edit-" + std::to_string(*rc::gen::inRange(0, 40)));
       const auto newest = machine.State().mSettings.mRevision.Value();
       const auto back = *rc::gen::inRange<std::uint64_t>(0, 3);
-      // A resent edit is sent as it was.
+      // A resent edit is unchanged.
       const auto [base, text] =
         sent
           .try_emplace(
@@ -75,7 +80,7 @@
       if (base.Value() == newest) {
         command.mDelta = MakeDelta(machine.State().mSettings.mText, text);
       }
-      const auto answer = std::get<EditAnswer>(machine.Apply(command));
+      const auto answer = std::get<EditResponse>(machine.Apply(command));
       RC_ASSERT(answer == naive.Edit(edit, base, text));
       if (*rc::gen::inRange(0, 10) == 0) {
         machine = StateMachine({}, MachineState(machine.State()));
@@ -101,7 +106,7 @@
   });
 }
 
-TEST_CASE("BoundsOfTheHistoryAreKept")
+TEST_CASE("HistoryLimitsAreEnforced")
 {
   StateMachineOptions options;
   options.mMaxHistory = 20;
@@ -131,7 +136,7 @@
   CHECK(state.mMembership.mOldest.mEpoch == EpochNumber(192));
 }
 
-TEST_CASE("KeptEpochsLeadFromTheOldestToTheCurrentOne")
+TEST_CASE("RetainedEpochsLeadFromTheOldestToTheCurrentOne")
 {
   rc::prop("any joins, drains and removals", [] {
     StateMachineOptions options;
--- a/test/fleet/FleetPlannerTest.cpp
+++ b/test/fleet/FleetPlannerTest.cpp
@@ -31,12 +31,12 @@
   ServiceDemand demand;
   demand.mService = ServiceName("assistant");
   demand.mClass = MachineClass("two");
-  demand.mLeast = aWanted;
-  demand.mMost = aWanted + 4;
+  demand.mMinInstances = aWanted;
+  demand.mMaxInstances = aWanted + 4;
   return demand;
 }
 
-/** A cloud in memory: it gives or refuses what the planner asks for. */
+/** An in-memory cloud that grants or refuses the planner's start requests. */
 class TestCloud
 {
 public:
@@ -56,7 +56,7 @@
   {
     for (const FleetEffect& effect : mPlanner.Step(aEvent, mNow)) {
       if (const auto* start = std::get_if<StartEffect>(&effect)) {
-        ++mAsked;
+        ++mStartsRequested;
         mPending.push_back(*start);
       } else if (const auto* drain =
                    std::get_if<DrainInstanceEffect>(&effect)) {
@@ -68,13 +68,13 @@
     }
   }
 
-  /** Lets seconds pass; the cloud answers starts within each of them. */
+  /** Advances time; the cloud responds to the pending starts once a second. */
   void Run(int aSeconds)
   {
     for (int second = 0; second < aSeconds; ++second) {
       mNow += std::chrono::seconds(1);
       Step(FleetTickEvent{});
-      mMostPending = std::max(mMostPending, mPending.size());
+      mMaxPending = std::max(mMaxPending, mPending.size());
       for (const StartEffect& start : std::exchange(mPending, {})) {
         AnswerStart(start);
       }
@@ -87,13 +87,16 @@
       Step(StartRefusedEvent{ aStart.mStart });
       return;
     }
-    const InstanceName name("i-" + std::to_string(++mNamed));
+    const InstanceName name("i-" + std::to_string(++mNamesIssued));
     mLive[name] = aStart.mOffer;
     Step(StartedEvent{ aStart.mStart, name });
     Step(ServingEvent{ name });
   }
 
-  /** The cloud takes a whole domain back and sells nothing there. */
+  /**
+   * Reclaims all reclaimable instances of a domain and refuses further starts
+   * there.
+   */
   void ReclaimDomain(const std::string& aDomain)
   {
     mRefused.insert(Key(aDomain));
@@ -121,9 +124,9 @@
   std::set<OfferKey> mRefused;
   std::vector<InstanceName> mDrained;
   std::vector<InstanceName> mStopped;
-  int mAsked = 0;
-  int mNamed = 0;
-  std::size_t mMostPending = 0;
+  int mStartsRequested = 0;
+  int mNamesIssued = 0;
+  std::size_t mMaxPending = 0;
 };
 
 } // namespace
@@ -137,10 +140,10 @@
   for (const char* domain : kDomains) {
     CHECK(cloud.LiveIn(domain) == 5);
   }
-  CHECK(cloud.mMostPending <= FleetOptions{}.mMaxStarting);
+  CHECK(cloud.mMaxPending <= FleetOptions{}.mMaxStarting);
 }
 
-TEST_CASE("PreferenceAndWeightsDecideWhereToBuy")
+TEST_CASE("PreferenceAndWeightsSelectTheOffer")
 {
   ServiceDemand demand = Demand(4);
   demand.mPreferredDomains = { FailureDomain("marousi") };
@@ -149,7 +152,7 @@
   cloud.Run(3);
   CHECK(cloud.LiveIn("marousi") >= 2);
 
-  // A service that can't wait pays for a domain where little is reclaimed.
+  // A high latency weight selects a more expensive domain with fewer reclaims.
   for (const double weight : { 0.1, 20.0 }) {
     ServiceDemand one = Demand(1);
     one.mLatencyWeight = weight;
@@ -169,11 +172,10 @@
   }
 }
 
-// Symptom: the cloud throttles all calls just when replacements are needed.
-// Sequence: a domain's worth of instances is reclaimed, all reclaimable starts
-// are refused for five minutes.
-// Cause: every missing instance asked for in every round.
-TEST_CASE("WaveOfReclaimsSetsOffNoStormOfStarts")
+// Guards against throttling by the cloud when replacements are needed: all
+// instances of a domain are reclaimed, all starts are refused for five minutes,
+// and every missing instance is requested again in every round.
+TEST_CASE("WaveOfReclaimsCausesNoStormOfStarts")
 {
   TestCloud cloud(Demand(20));
   cloud.Step(ListedEvent{});
@@ -184,17 +186,18 @@
   }
   cloud.ReclaimDomain("marousi");
   REQUIRE(cloud.mLive.size() == 15);
-  cloud.mAsked = 0;
+  cloud.mStartsRequested = 0;
   cloud.Run(300);
-  // Five missing in 300 rounds would be 1,500 if asked for in every one.
-  INFO("starts asked for: " << cloud.mAsked);
-  CHECK(cloud.mAsked <= 80);
+  // Requesting five missing instances in each of 300 rounds would be 1,500
+  // starts.
+  INFO("starts requested: " << cloud.mStartsRequested);
+  CHECK(cloud.mStartsRequested <= 80);
   cloud.mRefused.clear();
   cloud.Run(300);
   CHECK(cloud.mLive.size() == 20);
 }
 
-TEST_CASE("RefusedStartsFallOverToOtherDomainsAndThenToOnDemand")
+TEST_CASE("RefusedStartsFailOverToOtherDomainsAndThenToOnDemand")
 {
   TestCloud cloud(Demand(8));
   cloud.mRefused = { Key("marousi"), Key("elefsina") };
@@ -216,16 +219,16 @@
     }));
 }
 
-// Symptom: twice the fleet after a change of the control leader.
-// Sequence: a new leader knows of no instances and buys them all.
-// Cause: the planner's memory isn't the log's.
-TEST_CASE("NewLeaderBuysNothingBeforeItKnowsWhatIsThere")
+// Guards against twice the fleet after a change of leader: the planner's state
+// is not in the control log, so a new leader that knows of no instances would
+// start all of them again.
+TEST_CASE("NewLeaderStartsNothingBeforeTheCloudListsInstances")
 {
   FleetOptions options;
   options.mActAfter = TimePoint(std::chrono::seconds(1010));
   TestCloud cloud(Demand(4), options);
   cloud.Run(30);
-  CHECK(cloud.mAsked == 0);
+  CHECK(cloud.mStartsRequested == 0);
   std::vector<InstanceInfo> listed;
   for (int number = 0; number < 4; ++number) {
     listed.push_back(
@@ -237,14 +240,14 @@
   }
   cloud.Step(ListedEvent{ listed });
   cloud.Run(30);
-  CHECK(cloud.mAsked == 0);
-  // A list that is older than a start's answer forgets nothing.
+  CHECK(cloud.mStartsRequested == 0);
+  // A list older than the response to a start does not remove the new instance.
   cloud.Step(ReclaimNoticeEvent{ InstanceName("old-0") });
   cloud.Run(1);
-  REQUIRE(cloud.mAsked == 1);
+  REQUIRE(cloud.mStartsRequested == 1);
   cloud.Step(ListedEvent{ listed });
   cloud.Run(5);
-  CHECK(cloud.mAsked == 1);
+  CHECK(cloud.mStartsRequested == 1);
 }
 
 TEST_CASE("SurplusIsDrainedOneByOneAndStoppedOnlyWhenEmpty")
@@ -253,13 +256,13 @@
   cloud.Step(ListedEvent{});
   cloud.Run(5);
   cloud.Step(DemandEvent{ { Demand(3) } });
-  // The wanted number is kept within the new bounds; shrink it by latency.
+  // The wanted number stays within the new bounds; low latency then reduces it.
   for (int second = 0; second < 700; ++second) {
     cloud.Step(LatencyEvent{ ServiceName("assistant"), Duration(1000) });
     cloud.Run(1);
   }
   CHECK(cloud.mPlanner.Wanted(ServiceName("assistant")) == 3);
-  // A surplus of less than two minutes is kept.
+  // A surplus is not drained within the first two minutes.
   CHECK(cloud.mDrained.empty());
   cloud.Run(130);
   REQUIRE(cloud.mDrained.size() == 1);
@@ -270,7 +273,7 @@
   CHECK(cloud.mDrained.size() == 1);
 }
 
-TEST_CASE("MissedLatencyTargetBuysMoreOnlyWhenItLasts")
+TEST_CASE("SustainedMissOfLatencyTargetAddsInstances")
 {
   TestCloud cloud(Demand(4));
   cloud.Step(ListedEvent{});
@@ -293,7 +296,7 @@
   CHECK(cloud.mPlanner.Wanted(ServiceName("assistant")) == 8);
 }
 
-TEST_CASE("WhateverTheCloudDoesTheBoundsHold")
+TEST_CASE("BoundsHoldUnderRandomRefusalsAndReclaims")
 {
   rc::prop("random refusals, reclaims and demands", [] {
     FleetOptions options;
@@ -318,7 +321,7 @@
           break;
       }
       cloud.Run(*rc::gen::inRange(1, 20));
-      RC_ASSERT(cloud.mMostPending <= 3U);
+      RC_ASSERT(cloud.mMaxPending <= 3U);
       RC_ASSERT(cloud.mLive.size() <= 6U);
     }
     cloud.mRefused.clear();
--- a/test/fleet/OrderDeskTest.cpp
+++ b/test/fleet/OrderDispatcherTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: promise-fencing
-#include "peridotspool/fleet/OrderDesk.h"
+#include "peridotspool/fleet/OrderDispatcher.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,16 +9,16 @@
 
 constexpr TimePoint kStart{ std::chrono::seconds(1000) };
 
-/** Engines in memory that carry out what they are sent. */
+/** In-memory engines that carry out the orders they are sent. */
 class TestEngines
 {
 public:
-  explicit TestEngines(OrderDeskOptions aOptions = {})
-    : mDesk(WithStart(aOptions))
+  explicit TestEngines(OrderDispatcherOptions aOptions = {})
+    : mDispatcher(WithLeaderSince(aOptions))
   {
   }
 
-  static OrderDeskOptions WithStart(OrderDeskOptions aOptions)
+  static OrderDispatcherOptions WithLeaderSince(OrderDispatcherOptions aOptions)
   {
     aOptions.mLeaderSince = kStart;
     return aOptions;
@@ -26,31 +26,32 @@
 
   void Add(const std::string& aName, bool aChecks, const std::string& aWanted)
   {
-    Step(EngineSeenEvent{ UpstreamName(aName), Incarnation(1), aChecks });
-    Step(SetupWantedEvent{ .mEngine = UpstreamName(aName),
-                           .mSetup = { .mModel = aWanted },
-                           .mModelBytes = 10ULL << 30,
-                           .mUrgency = 0.0 });
+    Step(EngineAnnouncedEvent{ UpstreamName(aName), Incarnation(1), aChecks });
+    Step(DesiredSetupEvent{ .mEngine = UpstreamName(aName),
+                            .mSetup = { .mModel = aWanted },
+                            .mModelBytes = 10ULL << 30,
+                            .mUrgency = 0.0 });
   }
 
   void Step(const OrderEvent& aEvent)
   {
-    for (const OrderEffect& effect : mDesk.Step(aEvent, mNow)) {
-      Carry(effect);
+    for (const OrderEffect& effect : mDispatcher.Step(aEvent, mNow)) {
+      Apply(effect);
     }
   }
 
-  void Carry(const OrderEffect& aEffect)
+  void Apply(const OrderEffect& aEffect)
   {
     if (const auto* read = std::get_if<ReadSetupEffect>(&aEffect)) {
       Step(
         SetupReadEvent{ read->mRead, read->mEngine, mSetups[read->mEngine] });
-    } else if (const auto* take = std::get_if<TakeFencingEffect>(&aEffect)) {
+    } else if (const auto* request =
+                 std::get_if<RequestFencingNumberEffect>(&aEffect)) {
       mNumber = mNumber.Next();
-      Step(FencingGivenEvent{ take->mOrder, mNumber });
+      Step(FencingNumberIssuedEvent{ request->mOrder, mNumber });
     } else if (const auto* send = std::get_if<SendOrderEffect>(&aEffect)) {
       mSent.push_back(*send);
-      if (mObey) {
+      if (mApplyOrders) {
         mSetups[send->mEngine] = send->mSetup;
         Step(OrderEndedEvent{ send->mOrder, mOutcome });
       }
@@ -66,48 +67,47 @@
     }
   }
 
-  OrderDesk mDesk;
+  OrderDispatcher mDispatcher;
   TimePoint mNow = kStart;
   FencingNumber mNumber;
   std::map<UpstreamName, EngineSetup> mSetups;
   std::vector<SendOrderEffect> mSent;
   OrderOutcome mOutcome = OrderOutcome::kDone;
-  bool mObey = true;
+  bool mApplyOrders = true;
 };
 
 } // namespace
 
-TEST_CASE("OrdersSayWhatShallBeAndAreNotRepeated")
+TEST_CASE("OrdersAreSentOnlyForAChangedSetup")
 {
   TestEngines engines;
   engines.Add("engine-1", true, "large");
   engines.Run(std::chrono::seconds(60));
   REQUIRE(engines.mSent.size() == 1);
   CHECK(engines.mSent[0].mSetup.mModel == "large");
-  // What the engine has already needs no order, whoever gave it.
+  // An engine that has the desired setup needs no order, whoever set it up.
   engines.mSetups[UpstreamName("engine-2")] = { .mModel = "large" };
   engines.Add("engine-2", true, "large");
   engines.Run(std::chrono::seconds(60));
   CHECK(engines.mSent.size() == 1);
 }
 
-// Symptom: an engine that ignores fencing numbers ends with the old model.
-// Sequence: the old leader sends an order at the end of its lease; the engine
-// works on it for nearly the longest time; meanwhile a new leader's order has
-// been done; then the old one ends.
-// Cause: trust in a number that nobody checks.
+// Guards against an engine that ignores fencing numbers and ends with the old
+// model: the old leader sends an order at the end of its lease, and the engine
+// works on it for nearly the maximum time. Meanwhile the new leader's order is
+// done, and then the old order ends and undoes it.
 TEST_CASE("EngineThatIgnoresFencingWaitsForTheEarlierLeadersOrders")
 {
   const bool checks = GENERATE(true, false);
   TestEngines engines;
-  OrderDeskOptions options;
+  OrderDispatcherOptions options;
   const TimePoint oldOrderEnds =
-    kStart + options.mLease + options.mSendWithin + options.mLongestOrder;
+    kStart + options.mLease + options.mMaxSendDelay + options.mMaxOrderDuration;
   engines.Add("engine-1", checks, "new");
   bool oldEnded = false;
   while (engines.mNow < oldOrderEnds + std::chrono::seconds(60)) {
     engines.Run(std::chrono::milliseconds(100));
-    // An engine that checks the numbers refuses the old order at its end.
+    // An engine that checks fencing numbers rejects the old order when it ends.
     if (!oldEnded && engines.mNow >= oldOrderEnds) {
       oldEnded = true;
       if (!checks) {
@@ -127,42 +127,42 @@
   CHECK(engines.mSent.size() == 1);
 }
 
-TEST_CASE("StaleNumberEndsAllOrders")
+TEST_CASE("StaleFencingNumberStopsAllOrders")
 {
   TestEngines engines;
   engines.mOutcome = OrderOutcome::kStale;
   engines.Add("engine-1", true, "large");
   engines.Add("engine-2", true, "large");
   engines.Run(std::chrono::seconds(60));
-  CHECK(engines.mDesk.IsStale());
+  CHECK(engines.mDispatcher.IsStale());
   CHECK(engines.mSent.size() == 1);
 }
 
-// Symptom: after a wave, all new engines load for many minutes and none serves.
-// Sequence: twenty engines are to load 10 GB each from a store of 2 GB/s.
-// Cause: all loads asked for at once share the rate and end together.
-TEST_CASE("LoadsAreAskedForAtTheWeightStoresRate")
+// Guards against engines that load for many minutes while none serves: twenty
+// engines load 10 GB each from a store of 2 GB/s. Loads requested all at once
+// share the bandwidth and end together.
+TEST_CASE("LoadsAreRequestedAtTheWeightStoresRate")
 {
   TestEngines engines;
-  engines.mObey = false;
+  engines.mApplyOrders = false;
   for (int number = 10; number < 30; ++number) {
     engines.Add("engine-" + std::to_string(number), true, "large");
   }
-  engines.Step(SetupWantedEvent{ .mEngine = UpstreamName("engine-29"),
-                                 .mSetup = { .mModel = "large" },
-                                 .mModelBytes = 10ULL << 30,
-                                 .mUrgency = 1.0 });
+  engines.Step(DesiredSetupEvent{ .mEngine = UpstreamName("engine-29"),
+                                  .mSetup = { .mModel = "large" },
+                                  .mModelBytes = 10ULL << 30,
+                                  .mUrgency = 1.0 });
   engines.Run(std::chrono::seconds(50));
-  // One load takes the store 5 s; one more may wait at the store.
+  // One load takes the store 5 s, and one more may be queued.
   CHECK(engines.mSent.size() >= 10);
   CHECK(engines.mSent.size() <= 12);
   CHECK(engines.mSent[0].mEngine == UpstreamName("engine-29"));
 }
 
-TEST_CASE("FailedOrderIsReadBackAndTriedAgainWithBackoff")
+TEST_CASE("FailedOrderIsReadBackAndRetriedWithBackoff")
 {
   TestEngines engines;
-  engines.mObey = false;
+  engines.mApplyOrders = false;
   engines.Add("engine-1", true, "large");
   engines.Run(std::chrono::seconds(1));
   REQUIRE(engines.mSent.size() == 1);
@@ -178,7 +178,7 @@
   }
 }
 
-TEST_CASE("NewIncarnationIsReadAnewAndOldAnswersDoNotCount")
+TEST_CASE("NewIncarnationIsReadAgainAndOldResponsesAreIgnored")
 {
   TestEngines engines;
   engines.Add("engine-1", true, "large");
@@ -186,7 +186,7 @@
   REQUIRE(engines.mSent.size() == 1);
   engines.mSetups[UpstreamName("engine-1")] = {};
   engines.Step(
-    EngineSeenEvent{ UpstreamName("engine-1"), Incarnation(2), true });
+    EngineAnnouncedEvent{ UpstreamName("engine-1"), Incarnation(2), true });
   engines.Step(SetupReadEvent{
     ReadNumber(1), UpstreamName("engine-1"), { .mModel = "large" } });
   engines.Run(std::chrono::seconds(10));
