--- a/test/fleet/PoolPlannerTest.cpp
+++ b/test/fleet/PoolPlannerTest.cpp
@@ -24,8 +24,8 @@
            .mScaling =
              ScalingProfile{ .mMin = 1,
                              .mMax = 10,
-                             .mBoot = std::chrono::seconds(4),
-                             .mReclaimablePrice = 0.2,
+                             .mBootTime = std::chrono::seconds(4),
+                             .mReclaimablePriceRatio = 0.2,
                              .mPrices = { { FailureDomain("a"), 1.0 },
                                           { FailureDomain("b"), 0.8 } } } };
 }
@@ -36,7 +36,7 @@
   return { FailureDomain(aDomain), aReclaimable };
 }
 
-/** A cloud that takes orders and carries them out when it is told to. */
+/** A cloud that accepts orders and carries them out on request. */
 class Cloud
 {
 public:
@@ -44,25 +44,25 @@
   {
     for (const PoolOrder& order :
          aPlanner.Plan(MakeService(), mView, At(aMs))) {
-      const bool refused = mDry && order.mReclaimable &&
+      const bool refused = mShortage && order.mReclaimable &&
                            order.mDesired > mView.mReady[KeyOf(order)];
-      aPlanner.TakeResult(order, !refused, refused, At(aMs));
+      aPlanner.HandleResult(order, !refused, refused, At(aMs));
       ++mOrders;
       if (!refused) {
-        mTaken[KeyOf(order)] = order.mDesired;
+        mAccepted[KeyOf(order)] = order.mDesired;
       }
     }
   }
   void CarryOut()
   {
-    for (const auto& [key, count] : mTaken) {
+    for (const auto& [key, count] : mAccepted) {
       mView.mReady[key] = count;
     }
   }
 
   PoolView mView;
-  std::map<PoolKey, std::uint32_t> mTaken;
-  bool mDry = false;
+  std::map<PoolKey, std::uint32_t> mAccepted;
+  bool mShortage = false;
   int mOrders = 0;
 
 private:
@@ -74,101 +74,103 @@
 
 } // namespace
 
-TEST_CASE("ReclaimableUpstreamsTakeThePlaceOfLastingOnesWhichStayUntilThen")
+TEST_CASE("OnDemandUpstreamsAreReleasedOnceReclaimableOnesReplaceThem")
 {
-  PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 4 }, { Key("b", false), 4 } };
   cloud.Run(planner, 0);
-  // As many as there were remain when either domain is taken.
-  CHECK(cloud.mTaken[Key("a", true)] == 8);
-  CHECK(cloud.mTaken[Key("b", true)] == 8);
-  const auto lasting =
+  // If either domain is reclaimed, as many remain as there were.
+  CHECK(cloud.mAccepted[Key("a", true)] == 8);
+  CHECK(cloud.mAccepted[Key("b", true)] == 8);
+  const auto onDemand =
     cloud.mView.mReady[Key("a", false)] + cloud.mView.mReady[Key("b", false)];
-  CHECK(lasting == 8);
+  CHECK(onDemand == 8);
   cloud.mView.mReady[Key("a", true)] = 8;
   cloud.mView.mReady[Key("b", true)] = 8;
   cloud.Run(planner, 5000);
-  CHECK(cloud.mTaken[Key("a", false)] == 0);
-  CHECK(cloud.mTaken[Key("b", false)] == 0);
+  CHECK(cloud.mAccepted[Key("a", false)] == 0);
+  CHECK(cloud.mAccepted[Key("b", false)] == 0);
 }
 
-// Symptom: a tenth of the seconds paid for were those of twelve lasting
-// upstreams that nobody used.
-// Sequence: they are found running; reclaimable ones are ready in their place
-// before the first request.
-// Cause: they were kept for a while, as among the waves of a day.
-TEST_CASE("BeforeAnyLoadLastingOnesGoAsSoonAsReclaimableOnesAreReady")
+// Guards against paying for on-demand upstreams that nobody uses: twelve of
+// them are found running, reclaimable ones are ready in their place before the
+// first request, and the on-demand ones are retained as between waves of
+// reclaims. That was a tenth of the paid upstream time.
+TEST_CASE("BeforeLoadOnDemandUpstreamsAreReleasedAsSoonAsReplaced")
 {
-  PoolPlanner planner({ .mLeast = 8,
-                        .mListenFor = Duration(0),
-                        .mLastingFor = std::chrono::seconds(3) });
+  PoolPlanner planner({ .mMinUpstreams = 8,
+                        .mObservationPeriod = Duration(0),
+                        .mMinOnDemandTime = std::chrono::seconds(3) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 4 }, { Key("b", false), 4 } };
-  const auto lasting = [&] {
+  const auto onDemand = [&] {
     return cloud.mView.mReady[Key("a", false)] +
            cloud.mView.mReady[Key("b", false)];
   };
   cloud.Run(planner, 0);
   cloud.Run(planner, 3900);
-  CHECK(cloud.mTaken.find(Key("b", false)) == cloud.mTaken.end());
+  CHECK(cloud.mAccepted.find(Key("b", false)) == cloud.mAccepted.end());
   cloud.CarryOut();
   cloud.Run(planner, 4000);
   cloud.CarryOut();
-  CHECK(lasting() == 0);
-  // Once there is load they stay for a while.
+  CHECK(onDemand() == 0);
+  // Under load they are retained for a while.
   cloud.mView.mRunning = 10.0;
   cloud.mView.mReady[Key("a", true)] = 0;
   cloud.mView.mReady[Key("b", true)] = 0;
   cloud.Run(planner, 10000);
   cloud.CarryOut();
-  CHECK(lasting() == 8);
+  CHECK(onDemand() == 8);
   cloud.mView.mReady[Key("a", true)] = 8;
   cloud.Run(planner, 12000);
   cloud.CarryOut();
-  CHECK(lasting() == 8);
+  CHECK(onDemand() == 8);
 }
 
-// Symptom: nearly all requests failed for twenty seconds.
-// Sequence: the cloud took one failure domain after the other back, and had no
-// reclaimable instances to give meanwhile.
-// Cause: only reclaimable ones were ordered, again and again.
-TEST_CASE("LastingUpstreamsAreOrderedWhenReclaimableOnesAreRefused")
+// Guards against twenty seconds in which nearly all requests fail: the cloud
+// reclaims one failure domain after another and has no reclaimable instances
+// meanwhile, but only reclaimable ones are ordered, again and again.
+TEST_CASE("OnDemandUpstreamsAreOrderedWhenReclaimableOnesAreRefused")
 {
-  PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 4 }, { Key("b", true), 4 } };
   cloud.Run(planner, 0);
-  cloud.mDry = true;
+  cloud.mShortage = true;
   cloud.mView.mReady = { { Key("a", true), 1 } };
   cloud.Run(planner, 1000);
   cloud.Run(planner, 1100);
-  const auto lasting =
-    cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)];
-  CHECK(lasting == 3);
-  // They stay while reclaimable ones are away, and go once those are back.
+  const auto onDemand =
+    cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)];
+  CHECK(onDemand == 3);
+  // On-demand upstreams are retained until reclaimable ones are ready again.
   cloud.CarryOut();
   cloud.mView.mReady[Key("a", true)] = 1;
   cloud.mView.mReady.erase(Key("b", true));
   cloud.Run(planner, 9000);
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] == 3);
-  cloud.mDry = false;
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] ==
+        3);
+  cloud.mShortage = false;
   for (int ms = 10000; ms < 30000; ms += 1000) {
     cloud.Run(planner, ms);
     cloud.CarryOut();
   }
   CHECK(cloud.mView.mReady[Key("a", true)] == 4);
   CHECK(cloud.mView.mReady[Key("b", true)] == 4);
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] == 0);
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] ==
+        0);
 }
 
-// Symptom: the first seconds of a large deployment's day failed.
-// Sequence: 140 lasting upstreams were there; before any request had come the
-// pool was cut to its least.
-// Cause: no load was taken for little load.
-TEST_CASE("ThePoolStaysAsLargeAsItWasFoundAndADomainMoreUntilLoadIsSeen")
+// Guards against failing requests in the first seconds of a large deployment:
+// 140 on-demand upstreams are running, and the pool is cut to its minimum
+// before the first request because no load yet is mistaken for low load.
+TEST_CASE("ThePoolKeepsItsInitialSizeAndASpareDomainUntilThereIsLoad")
 {
-  PoolPlanner planner({ .mLeast = 2, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 2, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 5 }, { Key("b", false), 6 } };
   cloud.Run(planner, 0);
@@ -176,7 +178,8 @@
   cloud.CarryOut();
   cloud.Run(planner, 5000);
   cloud.CarryOut();
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] == 0);
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] ==
+        0);
   cloud.Run(planner, 20000);
   CHECK(planner.Wanted() == 20);
   cloud.mView.mRunning = 3.0;
@@ -186,35 +189,37 @@
   CHECK(planner.Wanted() == 2);
 }
 
-// Symptom: the first six seconds of a large deployment's day lost a third of
-// their worth.
-// Sequence: ninety lasting upstreams run; the holder of the duty has heard of
-// some of them when it first plans, and of the others within a heartbeat.
-// Cause: it ordered as many as it knew, and so took the others away.
-TEST_CASE("UpstreamsThatAreHeardLateAreNotTakenAway")
+// Guards against the loss of a third of the value of the first six seconds of a
+// large deployment: ninety on-demand upstreams are running, and a new leader
+// knows of only some when it first plans, and of the others within one
+// heartbeat. Ordering only the known number would release the others.
+TEST_CASE("UpstreamsDiscoveredLateAreNotReleased")
 {
-  PoolPlanner planner({ .mLeast = 2 });
+  PoolPlanner planner({ .mMinUpstreams = 2 });
   Cloud cloud;
-  for (std::uint32_t heard = 1; heard <= 10; ++heard) {
-    cloud.mView.mReady = { { Key("a", false), heard },
-                           { Key("b", false), heard / 2 } };
-    cloud.Run(planner, static_cast<int>(heard) * 120);
+  for (std::uint32_t known = 1; known <= 10; ++known) {
+    cloud.mView.mReady = { { Key("a", false), known },
+                           { Key("b", false), known / 2 } };
+    cloud.Run(planner, static_cast<int>(known) * 120);
   }
-  CHECK(cloud.mTaken.find(Key("a", false)) == cloud.mTaken.end());
-  CHECK(cloud.mTaken.find(Key("b", false)) == cloud.mTaken.end());
+  CHECK(cloud.mAccepted.find(Key("a", false)) == cloud.mAccepted.end());
+  CHECK(cloud.mAccepted.find(Key("b", false)) == cloud.mAccepted.end());
   CHECK(planner.Wanted() == 20);
   cloud.Run(planner, 2000);
-  CHECK(cloud.mTaken[Key("a", true)] + cloud.mTaken[Key("b", true)] == 20);
-  CHECK(cloud.mTaken[Key("a", false)] + cloud.mTaken[Key("b", false)] >= 3);
+  CHECK(cloud.mAccepted[Key("a", true)] + cloud.mAccepted[Key("b", true)] ==
+        20);
+  CHECK(cloud.mAccepted[Key("a", false)] + cloud.mAccepted[Key("b", false)] >=
+        3);
 }
 
-// Symptom: the first eight seconds of a heavy day earned 0.4 to 0.7.
-// Sequence: 140 lasting upstreams run; 95 of them are heard within 1.5 s, the
-// others when control replicas that joined late take their heartbeats.
-// Cause: what was heard after the first moments was never counted.
-TEST_CASE("TheReserveBeforeLoadCountsUpstreamsThatAreHeardSecondsLater")
+// Guards against a pool that is too small for the first eight seconds of heavy
+// load, which scored only 0.4 to 0.7: 140 on-demand upstreams are running, of
+// which 95 are discovered within 1.5 s and the others when control replicas
+// that joined late receive their heartbeats. Upstreams discovered after the
+// first moments must count too.
+TEST_CASE("TheReserveBeforeLoadCountsUpstreamsDiscoveredSecondsLater")
 {
-  PoolPlanner planner({ .mLeast = 2 });
+  PoolPlanner planner({ .mMinUpstreams = 2 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 2 } };
   cloud.Run(planner, 0);
@@ -223,7 +228,7 @@
   cloud.mView.mReady[Key("b", false)] = 3;
   cloud.Run(planner, 3500);
   CHECK(planner.Wanted() == 10);
-  // Those that were ordered in their place are no ground for more.
+  // Reclaimable upstreams ordered as replacements do not raise the reserve.
   for (int ms = 4000; ms < 20000; ms += 500) {
     cloud.Run(planner, ms);
     cloud.CarryOut();
@@ -233,39 +238,38 @@
   CHECK(cloud.mView.mReady[Key("a", false)] == 0);
 }
 
-TEST_CASE("TheReserveBeforeLoadCostsNoMoreThanWhatItStandsInFor")
+TEST_CASE("TheReserveBeforeLoadCostsNoMoreThanWhatItReplaces")
 {
-  ServiceProfile dear = MakeService();
-  dear.mScaling->mReclaimablePrice = 0.8;
-  dear.mScaling->mPrices[FailureDomain("c")] = 1.0;
-  PoolPlanner planner({ .mLeast = 2 });
+  ServiceProfile expensive = MakeService();
+  expensive.mScaling->mReclaimablePriceRatio = 0.8;
+  expensive.mScaling->mPrices[FailureDomain("c")] = 1.0;
+  PoolPlanner planner({ .mMinUpstreams = 2 });
   PoolView view;
   view.mReady = { { Key("a", false), 6 } };
-  planner.Plan(dear, view, At(0));
-  // A domain's worth more than there were: 6 x 3 / 2.
+  planner.Plan(expensive, view, At(0));
+  // The reserve covers the loss of one domain: 6 x 3 / 2.
   CHECK(planner.Wanted() == 9);
 }
 
-// Symptom: in the middle of a calm day windows earned 0.67 of 0.95, and a
-// hundred lasting upstreams were paid for. Sequence: a reserve of four times
-// the load's need; a domain is reclaimed and nothing is to be had in its place;
-// eight seconds of load have been seen. Cause: the pool was cut to the load's
-// need at once, at that moment.
-TEST_CASE("ThePoolShrinksInStepsAndNotWhileOthersAreRefused")
+// Guards against a pool that is cut to the load's need at once: after eight
+// seconds of load, a reserve of four times the need is cut while a domain is
+// reclaimed and no replacement is available. The windows then scored 0.67
+// and not 0.95, and a hundred on-demand upstreams had to be paid for.
+TEST_CASE("ThePoolShrinksInStepsAndNotDuringACapacityShortage")
 {
-  PoolPlanner planner({ .mLeast = 2, .mRunningEach = 1.0 });
+  PoolPlanner planner({ .mMinUpstreams = 2, .mTargetConcurrency = 1.0 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 10 }, { Key("b", true), 10 } };
   cloud.Run(planner, 0);
   REQUIRE(planner.Wanted() == 20);
   cloud.mView.mRunning = 2.0;
-  cloud.mDry = true;
+  cloud.mShortage = true;
   cloud.mView.mReady[Key("b", true)] = 0;
   for (int ms = 5000; ms < 17000; ms += 100) {
     cloud.Run(planner, ms);
     CHECK(planner.Wanted() == 20);
   }
-  cloud.mDry = false;
+  cloud.mShortage = false;
   cloud.mView.mReady[Key("b", true)] = 10;
   std::map<std::uint32_t, int> lasted;
   for (int ms = 17000; ms < 40000; ms += 100) {
@@ -279,46 +283,48 @@
   }
 }
 
-// Symptom: for six seconds nearly all requests failed or came late.
-// Sequence: the cloud takes one of three domains, gives nothing in its place,
-// and two seconds later takes the next ones. Cause: what was left was counted
-// as if it would stay, and a start takes longer than a reclaim's notice.
-TEST_CASE("WhileNoneAreToBeHadTheLargestDomainLeftCountsAsGone")
+// Guards against six seconds in which nearly all requests fail or are late: the
+// cloud reclaims one of three domains, grants no replacement, and reclaims the
+// next ones two seconds later. The remaining upstreams must not count as
+// permanent, because a start takes longer than the notice of a reclaim.
+TEST_CASE("DuringACapacityShortageTheLargestRemainingDomainCountsAsLost")
 {
   ServiceProfile service = MakeService();
   service.mScaling->mPrices[FailureDomain("c")] = 1.0;
-  PoolPlanner planner({ .mLeast = 2, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 2, .mObservationPeriod = Duration(0) });
   PoolView view;
   view.mReady = { { Key("a", true), 10 },
                   { Key("b", true), 10 },
                   { Key("c", true), 10 } };
-  const auto plan = [&](int aMs, bool aDry) {
-    std::uint32_t lasting = 0;
+  const auto plan = [&](int aMs, bool aShortage) {
+    std::uint32_t onDemand = 0;
     for (const PoolOrder& order : planner.Plan(service, view, At(aMs))) {
-      const bool refused = aDry && order.mReclaimable;
-      planner.TakeResult(order, !refused, refused, At(aMs));
-      lasting += order.mReclaimable ? 0 : order.mDesired;
+      const bool refused = aShortage && order.mReclaimable;
+      planner.HandleResult(order, !refused, refused, At(aMs));
+      onDemand += order.mReclaimable ? 0 : order.mDesired;
     }
-    return lasting;
+    return onDemand;
   };
   CHECK(plan(0, false) == 0);
   REQUIRE(planner.Wanted() == 30);
-  // Two thirds are left, of which half may go at once; the load needs eight.
+  // Two thirds are left, and half of those may be lost at once; the load needs
+  // eight.
   view.mRunning = 3.5 * 16;
   view.mReady.erase(Key("c", true));
   CHECK(plan(1000, true) == 0);
   CHECK(plan(1100, true) == 0);
-  // Ten are left, which may go at once.
+  // Ten are left, and all of them may be lost at once.
   view.mReady.erase(Key("b", true));
   CHECK(plan(1200, true) == 8);
 }
 
-TEST_CASE("APoolThatCannotBeHadInFullIsNotKeptForEver")
+TEST_CASE("AnOversizedPoolShrinksEventuallyDuringACapacityShortage")
 {
-  PoolPlanner planner({ .mLeast = 2, .mRunningEach = 1.0 });
+  PoolPlanner planner({ .mMinUpstreams = 2, .mTargetConcurrency = 1.0 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", false), 10 } };
-  cloud.mDry = true;
+  cloud.mShortage = true;
   cloud.Run(planner, 0);
   cloud.mView.mRunning = 2.0;
   for (int ms = 5000; ms < 45000; ms += 100) {
@@ -327,9 +333,10 @@
   CHECK(planner.Wanted() < 20);
 }
 
-TEST_CASE("NothingIsOrderedWhenNothingIsToChange")
+TEST_CASE("NothingIsOrderedWithoutAChange")
 {
-  PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+  PoolPlanner planner(
+    { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 4 }, { Key("b", true), 4 } };
   for (int ms = 0; ms < 60000; ms += 100) {
@@ -338,9 +345,9 @@
   CHECK(cloud.mOrders <= 2);
 }
 
-TEST_CASE("LoadRaisesThePoolAtOnceAndLowersItAfterAWhile")
+TEST_CASE("ThePoolGrowsWithLoadAtOnceAndShrinksAfterADelay")
 {
-  PoolPlanner planner({ .mLeast = 4, .mRunningEach = 5.0 });
+  PoolPlanner planner({ .mMinUpstreams = 4, .mTargetConcurrency = 5.0 });
   Cloud cloud;
   cloud.mView.mReady = { { Key("a", true), 2 }, { Key("b", true), 2 } };
   cloud.mView.mRunning = 41.0;
@@ -353,26 +360,27 @@
   CHECK(planner.Wanted() == 4);
 }
 
-// Symptom: a quiet day earned 0.43 or 0.70; of its first plays one in two.
-// Sequence: two domains are reclaimed. For a second and a half the cloud has
-// upstreams to give, then takes the other two. An order refused just before is
-// tried again just after.
-// Cause: 1.5 s between two tries, as long as the gap.
-TEST_CASE("AGapOfASecondInADryTimeIsMet")
+// Guards against missing a short gap in a capacity shortage: two domains are
+// reclaimed, the cloud has capacity for a second and a half, and then it
+// reclaims the other two. An order refused just before the gap is retried just
+// after it if the time between retries is 1.5 s, as long as the gap. Light load
+// then scored 0.43 or 0.70 in one of two runs.
+TEST_CASE("AOneSecondGapInACapacityShortageIsUsed")
 {
   constexpr int kGapMs = 1000;
   constexpr int kPlanEachMs = 100;
   for (int gapAt = 2000; gapAt < 4000; gapAt += kPlanEachMs) {
-    PoolPlanner planner({ .mLeast = 8, .mListenFor = Duration(0) });
+    PoolPlanner planner(
+      { .mMinUpstreams = 8, .mObservationPeriod = Duration(0) });
     Cloud cloud;
     cloud.mView.mReady = { { Key("a", true), 4 } };
     cloud.mView.mRunning = 20.0;
     for (int ms = 0; ms < gapAt + 2 * kGapMs; ms += kPlanEachMs) {
-      cloud.mDry = ms < gapAt || ms >= gapAt + kGapMs;
+      cloud.mShortage = ms < gapAt || ms >= gapAt + kGapMs;
       cloud.Run(planner, ms);
     }
     INFO("gap from " << gapAt << " to " << gapAt + kGapMs << " ms");
-    CHECK(cloud.mTaken[Key("b", true)] >= 4);
+    CHECK(cloud.mAccepted[Key("b", true)] >= 4);
   }
 }
 
--- a/test/gateway/AttemptPolicyTest.cpp
+++ b/test/gateway/AttemptPolicyTest.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-AttemptFacts
-AnyFacts()
+AttemptState
+AnyState()
 {
-  return AttemptFacts{
+  return AttemptState{
     .mKind = *rc::gen::element(RequestKind::kIdempotent,
                                RequestKind::kNonIdempotent,
                                RequestKind::kStreaming),
@@ -25,90 +25,88 @@
 }
 
 bool
-MayRepeat(const AttemptFacts& aFacts)
+IsRetryable(const AttemptState& aState)
 {
-  return aFacts.mKind == RequestKind::kIdempotent ||
-         (aFacts.mKind == RequestKind::kStreaming && aFacts.mResumable);
+  return aState.mKind == RequestKind::kIdempotent ||
+         (aState.mKind == RequestKind::kStreaming && aState.mResumable);
 }
 
 } // namespace
 
-// Symptom: a repaste order reached two crews.
-// Sequence: an upstream took the order, its connection broke, the order was
-// sent to another upstream.
-// Cause: a lost answer was taken for a request that did not run.
-TEST_CASE("ARequestThatMayRunOnceIsNeverSentAgainAfterALostAnswer")
+// Guards against executing a non-retryable request twice: an upstream accepts
+// the request, its connection breaks, the lost response is treated as a request
+// that was not executed, and the request is sent to another upstream.
+TEST_CASE("ANonRetryableRequestIsNotResentAfterALostResponse")
 {
-  rc::prop("AfterLost", [] {
-    AttemptFacts facts = AnyFacts();
-    facts.mRuns = std::max<std::uint32_t>(1, facts.mRuns);
-    const NextStep step = AfterLost(facts);
-    if (!MayRepeat(facts) || facts.mRuns >= facts.mMaxAttempts) {
-      RC_ASSERT(step != NextStep::kTryAnother);
+  rc::prop("AfterLostResponse", [] {
+    AttemptState state = AnyState();
+    state.mRuns = std::max<std::uint32_t>(1, state.mRuns);
+    const NextStep step = AfterLostResponse(state);
+    if (!IsRetryable(state) || state.mRuns >= state.mMaxAttempts) {
+      RC_ASSERT(step != NextStep::kRetryElsewhere);
     }
     RC_ASSERT(step != NextStep::kRefuse);
   });
 }
 
-// Symptom: a caller was told that its request had not run, and it had.
-// Sequence: the first upstream took the request and broke, the second one said
-// that it was full.
-// Cause: only the last upstream's word was passed on.
-TEST_CASE("ARefusalIsGivenOnlyWhenNoUpstreamMayHaveRunTheRequest")
+// Guards against reporting a request as not executed although it was: the first
+// upstream accepts the request and its connection breaks, the second upstream
+// refuses it, and only the second result is reported to the caller.
+TEST_CASE("ARequestIsRefusedOnlyIfNoUpstreamMayHaveExecutedIt")
 {
-  rc::prop("AfterNotRun", [] {
-    const AttemptFacts facts = AnyFacts();
-    const NextStep step = AfterNotRun(facts);
+  rc::prop("AfterNotExecuted", [] {
+    const AttemptState state = AnyState();
+    const NextStep step = AfterNotExecuted(state);
     if (step == NextStep::kRefuse) {
-      RC_ASSERT(facts.mRuns == 0U);
-      RC_ASSERT(!facts.mBegun);
+      RC_ASSERT(state.mRuns == 0U);
+      RC_ASSERT(!state.mBegun);
     }
-    if (step == NextStep::kTryAnother) {
-      RC_ASSERT(facts.mTimeLeft);
-      RC_ASSERT(facts.mRuns < facts.mMaxAttempts);
+    if (step == NextStep::kRetryElsewhere) {
+      RC_ASSERT(state.mTimeLeft);
+      RC_ASSERT(state.mRuns < state.mMaxAttempts);
     }
   });
 }
 
-TEST_CASE("AnAnswerThatHasBegunIsNeverFollowedByAnotherOne")
+TEST_CASE("APartlySentResponseIsOnlyRetriedOrAborted")
 {
-  rc::prop("begun", [] {
-    AttemptFacts facts = AnyFacts();
-    facts.mBegun = true;
-    facts.mRuns = std::max<std::uint32_t>(1, facts.mRuns);
-    for (const NextStep step : { AfterNotRun(facts), AfterLost(facts) }) {
-      RC_ASSERT(step == NextStep::kTryAnother || step == NextStep::kBreakOff);
+  rc::prop("response partly sent", [] {
+    AttemptState state = AnyState();
+    state.mBegun = true;
+    state.mRuns = std::max<std::uint32_t>(1, state.mRuns);
+    for (const NextStep step :
+         { AfterNotExecuted(state), AfterLostResponse(state) }) {
+      RC_ASSERT(step == NextStep::kRetryElsewhere || step == NextStep::kAbort);
     }
   });
 }
 
-TEST_CASE("AnUpstreamsOwnFailureIsRepeatedOnlyWhereItMayRunAgain")
+TEST_CASE("AnUpstreamErrorIsRetriedOnlyIfTheRequestIsRetryable")
 {
-  AttemptFacts facts{ .mKind = RequestKind::kIdempotent,
+  AttemptState state{ .mKind = RequestKind::kIdempotent,
                       .mRuns = 1,
                       .mMaxAttempts = 2 };
-  CHECK(AfterFailure(facts) == NextStep::kTryAnother);
-  facts.mRuns = 2;
-  CHECK(AfterFailure(facts) == NextStep::kPassOn);
-  facts = { .mKind = RequestKind::kNonIdempotent,
+  CHECK(AfterUpstreamError(state) == NextStep::kRetryElsewhere);
+  state.mRuns = 2;
+  CHECK(AfterUpstreamError(state) == NextStep::kForward);
+  state = { .mKind = RequestKind::kNonIdempotent,
             .mRuns = 1,
             .mMaxAttempts = 2 };
-  CHECK(AfterFailure(facts) == NextStep::kPassOn);
+  CHECK(AfterUpstreamError(state) == NextStep::kForward);
 }
 
-// Symptom: callers of streams got an upstream's 500 for seconds while other
-// upstreams worked.
-// Sequence: one upstream failed streams before their first event.
-// Cause: a stream that may be resumed was not taken for one that may run again.
-TEST_CASE("AStreamThatMayBeResumedIsTriedElsewhereWhenItsUpstreamFails")
+// Guards against forwarding an upstream's 500 to callers of resumable streams
+// while other upstreams work: one upstream fails streams before their first
+// event, and a resumable stream is not treated as retryable.
+TEST_CASE("AResumableStreamIsRetriedAfterAnUpstreamError")
 {
-  AttemptFacts facts{ .mKind = RequestKind::kStreaming,
+  AttemptState state{ .mKind = RequestKind::kStreaming,
                       .mResumable = true,
                       .mRuns = 1,
                       .mMaxAttempts = 2 };
-  CHECK(AfterFailure(facts) == NextStep::kTryAnother);
-  facts.mResumable = false;
-  CHECK(AfterFailure(facts) == NextStep::kPassOn);
+  CHECK(AfterUpstreamError(state) == NextStep::kRetryElsewhere);
+  state.mResumable = false;
+  CHECK(AfterUpstreamError(state) == NextStep::kForward);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/EventSplitterTest.cpp
+++ b/test/gateway/EventSplitterTest.cpp
@@ -6,24 +6,25 @@
 
 namespace peridotspool::gateway {
 
-// Symptom: a resumed stream showed half an event and then a whole one.
-// Sequence: an upstream stopped in the middle of an event, and another one went
-// on after the last whole event.
-// Cause: bytes were handed on as they came.
-TEST_CASE("EventSplitterHandsOnWholeEventsOnly")
+// Guards against a resumed stream that contains part of an event before the
+// complete one. This happens if bytes are relayed as they come, an upstream
+// fails in the middle of an event, and another one resumes after the last
+// complete event.
+TEST_CASE("EventSplitterReturnsCompleteEventsOnly")
 {
   EventSplitter splitter;
-  CHECK(splitter.Take("id: 1\ndata: a\n").empty());
+  CHECK(splitter.Append("id: 1\ndata: a\n").empty());
   CHECK(splitter.LastId().empty());
-  CHECK(splitter.Take("\nid: 2\nda") == "id: 1\ndata: a\n\n");
+  CHECK(splitter.Append("\nid: 2\nda") == "id: 1\ndata: a\n\n");
   CHECK(splitter.LastId() == "1");
-  CHECK(splitter.Rest() == "id: 2\nda");
-  splitter.DropRest();
-  CHECK(splitter.Take("id:2\r\ndata: b\r\n\r\n") == "id:2\r\ndata: b\r\n\r\n");
+  CHECK(splitter.Incomplete() == "id: 2\nda");
+  splitter.DropIncomplete();
+  CHECK(splitter.Append("id:2\r\ndata: b\r\n\r\n") ==
+        "id:2\r\ndata: b\r\n\r\n");
   CHECK(splitter.LastId() == "2");
 }
 
-TEST_CASE("EventSplitterLosesNoByteHoweverTheBytesAreCut")
+TEST_CASE("EventSplitterPreservesAllBytesForAnySplit")
 {
   rc::prop("cuts", [] {
     std::string all;
@@ -36,11 +37,11 @@
     std::size_t place = 0;
     while (place < all.size()) {
       const auto length = *rc::gen::inRange<std::size_t>(1, 9);
-      seen += splitter.Take(all.substr(place, length));
+      seen += splitter.Append(all.substr(place, length));
       place += length;
     }
     RC_ASSERT(seen == all);
-    RC_ASSERT(splitter.Rest().empty());
+    RC_ASSERT(splitter.Incomplete().empty());
     RC_ASSERT(splitter.LastId() == std::to_string(events - 1));
   });
 }
--- a/test/gateway/ExchangeGateTest.cpp
+++ b/test/gateway/ExchangeQuarantineTest.cpp
@@ -11,7 +11,7 @@
 
 using routing::QuarantineStage;
 
-/** The content of RequestText(aKind, any id, aBody). */
+/** Returns the content id of RequestText(aKind, any id, aBody). */
 ContentId
 ContentOfText(const std::string& aKind, const std::string& aBody)
 {
@@ -23,27 +23,28 @@
                      .mBody = aBody });
 }
 
+/** Sets the quarantine stage of a content at the gateway. */
 void
-List(GatewayFixture& aGateway,
-     const ContentId& aContent,
-     QuarantineStage aStage)
+SetStage(GatewayFixture& aGateway,
+         const ContentId& aContent,
+         QuarantineStage aStage)
 {
   aGateway.OnRelay([&] {
-    const std::uint64_t known = aGateway.Core().mGate.Known();
-    aGateway.Core().TakeTold(routing::QuarantineTold{
+    const std::uint64_t known = aGateway.Core().mQuarantineGate.KnownNumber();
+    aGateway.Core().HandleQuarantineUpdate(routing::QuarantineUpdate{
       .mFrom = known,
       .mTo = known + 1,
       .mLines = { { .mContent = aContent, .mStage = aStage } } });
   });
 }
 
-/** The last message of a type that the leader was told. */
+/** Returns the last message of a type that was sent to the leader. */
 template<typename Message>
 std::optional<Message>
-LastTold(GatewayFixture& aGateway)
+LastSent(GatewayFixture& aGateway)
 {
   std::optional<Message> last;
-  for (const SharedMessage& message : aGateway.ToldLeader()) {
+  for (const PeerMessage& message : aGateway.SentToLeader()) {
     if (const auto* one = std::get_if<Message>(&message)) {
       last = *one;
     }
@@ -53,13 +54,13 @@
 
 } // namespace
 
-TEST_CASE("ARefusedContentReachesNoUpstreamAndAllOthersDo")
+TEST_CASE("ARefusedContentReachesNoUpstreamAndOtherContentsDo")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
     [](const std::string&) { return Script{ WholeAnswer("answer") }; });
   gateway.Add("u", upstream.Where());
-  List(gateway, ContentOfText("once", "deadly"), QuarantineStage::kRefused);
+  SetStage(gateway, ContentOfText("once", "deadly"), QuarantineStage::kRefused);
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "deadly"));
   const std::string refused = caller.ReadAnswer();
@@ -68,37 +69,41 @@
   CHECK(upstream.Requests().empty());
   caller.Send(RequestText("once", "g2", "harmless"));
   CHECK(caller.ReadAnswer().ends_with("answer"));
-  gateway.OnRelay([&] { CHECK(gateway.Core().mCameAgain.size() == 1); });
+  gateway.OnRelay(
+    [&] { CHECK(gateway.Core().mResubmittedContents.size() == 1); });
 }
 
-TEST_CASE("ASlowedContentWaitsForItsTurnAndItsAnswerIsTold")
+TEST_CASE("AThrottledContentWaitsForItsPermitAndItsResponseIsReported")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
     [](const std::string&) { return Script{ WholeAnswer("answer") }; });
   gateway.Add("u", upstream.Where());
   const ContentId content = ContentOfText("once", "suspect");
-  List(gateway, content, QuarantineStage::kOneAtATime);
+  SetStage(gateway, content, QuarantineStage::kOneAtATime);
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "suspect"));
   REQUIRE(Eventually(
-    [&] { return LastTold<routing::TurnAsk>(gateway).has_value(); }));
-  const auto ask = *LastTold<routing::TurnAsk>(gateway);
+    [&] { return LastSent<routing::PermitRequest>(gateway).has_value(); }));
+  const auto ask = *LastSent<routing::PermitRequest>(gateway);
   CHECK(ask.mContent == content);
   CHECK(upstream.Requests().empty());
-  gateway.OnRelay([&] { gateway.Core().TakeTurn({ ask.mTag, true }); });
+  gateway.OnRelay([&] {
+    gateway.Core().HandlePermitResponse({ ask.mTag, true });
+  });
   CHECK(caller.ReadAnswer().ends_with("answer"));
-  CHECK(LastTold<routing::TurnEnded>(gateway) ==
-        routing::TurnEnded{ content, ask.mTag, true });
+  CHECK(LastSent<routing::RunEnded>(gateway) ==
+        routing::RunEnded{ content, ask.mTag, true });
 }
 
-TEST_CASE("WhatWaitsForATurnInVainHasNotRun")
+TEST_CASE("ARequestWithoutAPermitIsRefusedAndDoesNotRun")
 {
   GatewayFixture gateway;
   ScriptedUpstream upstream(
     [](const std::string&) { return Script{ WholeAnswer("answer") }; });
   gateway.Add("u", upstream.Where());
-  List(gateway, ContentOfText("once", "suspect"), QuarantineStage::kOneAtATime);
+  SetStage(
+    gateway, ContentOfText("once", "suspect"), QuarantineStage::kOneAtATime);
   Caller caller(gateway.Where());
   caller.Send(RequestText("once", "g1", "suspect"));
   const std::string answer = caller.ReadAnswer();
@@ -106,7 +111,7 @@
   CHECK(upstream.Requests().empty());
 }
 
-TEST_CASE("TheEndOfALifeIsToldWithTheContentsItRan")
+TEST_CASE("AnUpstreamCrashIsReportedWithTheContentsItRan")
 {
   GatewayFixture gateway;
   ScriptedUpstream* dying = nullptr;
@@ -120,16 +125,16 @@
   caller.Send(RequestText("once", "g1", "deadly"));
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
   REQUIRE(Eventually(
-    [&] { return LastTold<routing::CrashReport>(gateway).has_value(); }));
-  const auto report = *LastTold<routing::CrashReport>(gateway);
+    [&] { return LastSent<routing::CrashReport>(gateway).has_value(); }));
+  const auto report = *LastSent<routing::CrashReport>(gateway);
   REQUIRE(report.mLines.size() == 1);
   CHECK(report.mLines[0].mContent == ContentOfText("once", "deadly"));
   CHECK(report.mLines[0].mUpstream == UpstreamName("u"));
 }
 
-// A closed connection, a reset one and bytes that are no answer: the upstream
-// goes on all the same, and no content is held against it.
-TEST_CASE("AnUpstreamThatGoesOnHasNotEndedWhateverItDoesToConnections")
+// After a closed connection, a reset one, or a malformed response, the upstream
+// still accepts connections, so no crash is reported for the content.
+TEST_CASE("ALostConnectionToARunningUpstreamIsNotReportedAsACrash")
 {
   for (const auto& script : { Script{ "", Script::Then::kClose },
                               Script{ "", Script::Then::kReset },
@@ -140,14 +145,14 @@
     Caller caller(gateway.Where());
     caller.Send(RequestText("once", "g1"));
     CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
-    // The connection that is tried.
+    // The second connection is the probe.
     REQUIRE(Eventually([&] { return upstream.Connections() == 2; }));
     gateway.OnRelay([] {});
-    CHECK(LastTold<routing::CrashReport>(gateway) == std::nullopt);
+    CHECK(LastSent<routing::CrashReport>(gateway) == std::nullopt);
   }
 }
 
-TEST_CASE("AnUpstreamThatSaidThatItLeavesMayEnd")
+TEST_CASE("TheEndOfADrainingUpstreamIsNotReportedAsACrash")
 {
   GatewayFixture gateway;
   ScriptedUpstream* leaving = nullptr;
@@ -161,7 +166,7 @@
                      .mStage = membership::UpstreamStage::kDraining }
       };
       auto& core = gateway.Core();
-      core.mBoard.Take(UpstreamName("u"), &known, core.mNow());
+      core.mSelector.Update(UpstreamName("u"), &known, core.mNow());
     });
     leaving->StopListening();
     return Script{ "", Script::Then::kClose };
@@ -172,7 +177,7 @@
   caller.Send(RequestText("once", "g1"));
   CHECK(StatusOf(caller.ReadAnswer()) == "HTTP/1.1 502");
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  CHECK(LastTold<routing::CrashReport>(gateway) == std::nullopt);
+  CHECK(LastSent<routing::CrashReport>(gateway) == std::nullopt);
 }
 
 } // namespace peridotspool::gateway
--- a/test/gateway/GatewayFixture.cpp
+++ b/test/gateway/GatewayFixture.cpp
@@ -17,7 +17,7 @@
 
 namespace net = http::net;
 
-/** Reads a request's value of a field; requests here are well-formed. */
+/** Returns the value of a field of a well-formed request, or empty. */
 std::string
 ValueOf(const std::string& aRequest, const std::string& aName)
 {
@@ -60,7 +60,8 @@
            .mResumable = aResumable };
 }
 
-/** A stream that may run once, of which a first event within 1 s is on time. */
+/** Returns a route of streams that may run once, with an objective of 1 s for
+ * the first event. */
 Route
 MakePromptRoute()
 {
@@ -118,7 +119,7 @@
 ScriptedUpstream::~ScriptedUpstream()
 {
   mStopping = true;
-  // A connection of our own wakes the accepting thread.
+  // A connection to the acceptor wakes the accepting thread.
   http::Tcp::socket knock(mIo);
   http::ErrorCode ignored;
   knock.connect(mAcceptor.local_endpoint(), ignored);
@@ -196,7 +197,7 @@
     if (script.mThen == Script::Then::kHang) {
       char byte = 0;
       aSocket.read_some(net::buffer(&byte, 1), error);
-      ++mLeftAlone;
+      ++mClosedWhileHanging;
       return;
     }
     if (script.mThen == Script::Then::kReset) {
@@ -294,26 +295,27 @@
   mCore.reset(new GatewayCore{
     .mIo = mIo,
     .mNames = TestNames(),
-    .mBoard = UpstreamBoard({ .mEjectFor = std::chrono::milliseconds(50) }),
-    .mBudget = RepeatBudget({ .mExtra = 1000.0 }),
+    .mSelector =
+      UpstreamSelector({ .mMinEjectTime = std::chrono::milliseconds(50) }),
+    .mRetryBudget = ServiceRetryBudget({ .mFixedAllowance = 1000.0 }),
     .mPool = {},
     .mLogger = *mLogger,
     .mCounters = mCounters,
     .mNow = runtime::ReadClock,
     .mQuota = {},
-    .mUsage = UsageTally(std::chrono::seconds(5), 1),
-    .mTellLeader =
-      [this](SharedMessage aMessage) {
-        mToldLeader.push_back(std::move(aMessage));
+    .mUsage = UsageCounter(std::chrono::seconds(5), 1),
+    .mSendToLeader =
+      [this](PeerMessage aMessage) {
+        mSentToLeader.push_back(std::move(aMessage));
       },
-    .mKeepers = {},
-    .mKeeper = {},
-    .mInquiries = {},
-    .mTellEntry = [](const Address&, const SharedMessage&) {},
-    .mWall = runtime::ReadWallMicros,
-    .mWaiting = {},
+    .mCoordinators = {},
+    .mCoordinator = {},
+    .mLoadQueries = {},
+    .mSendToEntry = [](const Address&, const PeerMessage&) {},
+    .mWallClock = runtime::ReadWallMicros,
+    .mQuotaWaiters = {},
     .mTable = MakeTable() });
-  // A free port, found by opening and closing it.
+  // Finds a free port by opening and closing an acceptor.
   http::Tcp::acceptor probe(
     mIo, http::Tcp::endpoint(net::ip::make_address("127.0.0.1"), 0));
   mWhere = { "127.0.0.1", probe.local_endpoint().port() };
@@ -371,7 +373,7 @@
                                              .mService = ServiceName("s"),
                                              .mAddress = aWhere,
                                              .mSlots = 8 } };
-    mCore->mBoard.Take(UpstreamName(aName), &known, runtime::ReadClock());
+    mCore->mSelector.Update(UpstreamName(aName), &known, runtime::ReadClock());
   });
 }
 
--- a/test/gateway/HeaderRulesTest.cpp
+++ b/test/gateway/HeaderRulesTest.cpp
@@ -29,18 +29,17 @@
 
 } // namespace
 
-// Symptom: an upstream billed a request to another customer.
-// Sequence: a caller set the field that names the customer itself.
-// Cause: the field was handed on beside the gateway's own.
-TEST_CASE("WriteForwardLetsNothingPassForWhatTheGatewaySets")
+// Guards against a request that is billed to another customer: a caller sets
+// the customer's field itself, and it is forwarded beside the gateway's own.
+TEST_CASE("WriteUpstreamRequestRemovesCallersValuesOfGatewayFields")
 {
-  const std::string text = WriteForward(MakeRequest(),
-                                        TestNames(),
-                                        { .mCustomer = "real",
-                                          .mUpstream = "u1",
-                                          .mDeadlineMs = 250,
-                                          .mPriority = 2,
-                                          .mLastEvent = {} });
+  const std::string text = WriteUpstreamRequest(MakeRequest(),
+                                                TestNames(),
+                                                { .mCustomer = "real",
+                                                  .mUpstream = "u1",
+                                                  .mDeadlineMs = 250,
+                                                  .mPriority = 2,
+                                                  .mLastEvent = {} });
   CHECK(text.find("forged") == std::string::npos);
   CHECK(text.find("secret") == std::string::npos);
   CHECK(text.find("gateway only") == std::string::npos);
@@ -55,60 +54,60 @@
   CHECK(text.ends_with("\r\n\r\nthe body"));
 }
 
-TEST_CASE("WriteForwardResumesAfterTheEventThatItIsTold")
+TEST_CASE("WriteUpstreamRequestReplacesTheLastEventIdOfAResumedStream")
 {
   CallerRequest request = MakeRequest();
   request.mFields.emplace_back("last-event-id", "3");
-  const std::string own = WriteForward(request, TestNames(), {});
+  const std::string own = WriteUpstreamRequest(request, TestNames(), {});
   CHECK(own.find("last-event-id: 3\r\n") != std::string::npos);
   const std::string resumed =
-    WriteForward(request, TestNames(), { .mLastEvent = "9" });
+    WriteUpstreamRequest(request, TestNames(), { .mLastEvent = "9" });
   CHECK(resumed.find("last-event-id: 3") == std::string::npos);
   CHECK(resumed.find("Last-Event-Id: 9\r\n") != std::string::npos);
 }
 
-TEST_CASE("WriteForwardGivesAGETWithoutABodyNoLength")
+TEST_CASE("WriteUpstreamRequestOmitsContentLengthForAGETWithoutBody")
 {
   CallerRequest request = MakeRequest();
   request.mMethod = "GET";
   request.mBody.clear();
-  CHECK(WriteForward(request, TestNames(), {}).find("Content-Length") ==
+  CHECK(WriteUpstreamRequest(request, TestNames(), {}).find("Content-Length") ==
         std::string::npos);
 }
 
-TEST_CASE("WriteAnswerHeadKeepsTheUpstreamsFieldsAndFramesAnew")
+TEST_CASE("WriteResponseHeadKeepsFieldsAndReplacesFraming")
 {
-  const UpstreamHead head{ .mStatus = 200,
+  const ResponseHead head{ .mStatus = 200,
                            .mReason = "OK",
                            .mFields = { { "X-Stamp", "s" },
                                         { "Keep-Alive", "timeout=5" },
                                         { "Transfer-Encoding", "chunked" },
                                         { "Content-Length", "3" } } };
-  CHECK(WriteAnswerHead(head, 5, true) ==
+  CHECK(WriteResponseHead(head, 5, true) ==
         "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nContent-Length: 5\r\n\r\n");
-  CHECK(WriteAnswerHead(head, std::nullopt, false) ==
+  CHECK(WriteResponseHead(head, std::nullopt, false) ==
         "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nTransfer-Encoding: "
         "chunked\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("WriteOwnAnswerSaysWhenToComeBack")
+TEST_CASE("WriteLocalResponseHasRetryAfterAndNoStamp")
 {
-  const std::string text =
-    WriteOwnAnswer({ .mStatus = 503, .mReason = "full", .mRetryAfter = 0.3 },
-                   "X-Id",
-                   "r1",
-                   true);
+  const std::string text = WriteLocalResponse(
+    { .mStatus = 503, .mReason = "full", .mRetryAfter = 0.3 },
+    "X-Id",
+    "r1",
+    true);
   CHECK(text.find("Retry-After: 0.30\r\n") != std::string::npos);
   CHECK(text.find("X-Id: r1\r\n") != std::string::npos);
   CHECK(text.find("X-Stamp") == std::string::npos);
 }
 
-TEST_CASE("BearerOfAndReadNumberTakeOnlyWhatTheyAreMadeFor")
+TEST_CASE("BearerTokenAndReadNumberRejectMalformedInput")
 {
-  CHECK(BearerOf("Bearer abc") == "abc");
-  CHECK(BearerOf("bearer  abc ") == "abc");
-  CHECK(BearerOf("Basic abc").empty());
-  CHECK(BearerOf("Bearer").empty());
+  CHECK(BearerToken("Bearer abc") == "abc");
+  CHECK(BearerToken("bearer  abc ") == "abc");
+  CHECK(BearerToken("Basic abc").empty());
+  CHECK(BearerToken("Bearer").empty());
   CHECK(ReadNumber("12") == 12U);
   CHECK_FALSE(ReadNumber("-1"));
   CHECK_FALSE(ReadNumber("1x"));
--- a/test/ledger/PeeringChoiceTest.cpp
+++ b/test/ledger/PeeringChoiceTest.cpp
@@ -25,7 +25,7 @@
   report.mLast = { .mInterval = EpochNumber(aActivated),
                    .mSequence = SequenceNumber(aSequence) };
   report.mLater = std::move(aLater);
-  report.mLaterIsWhole = true;
+  report.mLaterIsComplete = true;
   return report;
 }
 
@@ -52,7 +52,7 @@
                                { kC, Holds(5, 9, { kB, kC }) } });
   CHECK(choice.mReady);
   CHECK(choice.mSource == kC);
-  CHECK_FALSE(choice.mMayLack);
+  CHECK_FALSE(choice.mMayMissCommits);
 }
 
 TEST_CASE("WaitsForAllOfTheNewSet")
@@ -63,49 +63,50 @@
 
 TEST_CASE("WaitsForALaterSetThatMayHaveGoneActive")
 {
-  // kD and kE were in charge after the copy that kA holds.
+  // kD and kE were the replica set after the copy that kA holds.
   const std::vector<PastSet> later{ { .mEpoch = EpochNumber(4),
                                       .mMembers = { kD, kE } } };
   const ShardReport old = Holds(3, 9, { kA, kB }, later);
   CHECK_FALSE(Choose({ kA }, { kA, kD, kE }, { { kA, old } }).mReady);
-  // One of them says that it never went active: nothing was committed there.
+  // One of them reports that it was never activated, so nothing was committed
+  // there.
   const auto choice =
     Choose({ kA }, { kA, kD, kE }, { { kA, old }, { kD, ShardReport() } });
   CHECK(choice.mReady);
-  CHECK_FALSE(choice.mMayLack);
-  // Both are gone for good: what they committed, if anything, is lost.
+  CHECK_FALSE(choice.mMayMissCommits);
+  // Both have left permanently, so anything they committed is lost.
   const auto gone = Choose({ kA }, { kA }, { { kA, old } });
   CHECK(gone.mReady);
-  CHECK(gone.mMayLack);
+  CHECK(gone.mMayMissCommits);
 }
 
-TEST_CASE("AsksEverybodyWhenThePastIsNotKnownWhole")
+TEST_CASE("QueriesAllMembersWhenPastSetsAreUnknown")
 {
   ShardReport gap = Holds(3, 9, { kA, kB });
-  gap.mLaterIsWhole = false;
+  gap.mLaterIsComplete = false;
   CHECK_FALSE(Choose({ kA }, { kA, kC }, { { kA, gap } }).mReady);
   CHECK(
     Choose({ kA }, { kA, kC }, { { kA, gap }, { kC, ShardReport() } }).mReady);
 }
 
-TEST_CASE("TakesAnEmptyShardForNewOnlyWhenAllSaySo")
+TEST_CASE("TreatsAnEmptyShardAsNewOnlyIfAllMembersReportNoCopy")
 {
   CHECK_FALSE(Choose({ kA }, { kA, kB }, { { kA, ShardReport() } }).mReady);
   const auto choice = Choose(
     { kA }, { kA, kB }, { { kA, ShardReport() }, { kB, ShardReport() } });
   CHECK(choice.mReady);
   CHECK_FALSE(choice.mSource.IsSet());
-  CHECK_FALSE(choice.mMayLack);
+  CHECK_FALSE(choice.mMayMissCommits);
 }
 
-TEST_CASE("ReportsASetThatVanishedWhole")
+TEST_CASE("ReportsASetWhoseMembersAllLeft")
 {
   ShardReport witness;
   witness.mVanished =
     PastSet{ .mEpoch = EpochNumber(2), .mMembers = { kD, kE } };
   const auto choice = Choose({ kA }, { kA }, { { kA, witness } });
   CHECK(choice.mReady);
-  CHECK(choice.mMayLack);
+  CHECK(choice.mMayMissCommits);
 }
 
 TEST_CASE("PrimaryPlusOneNeedsThePrimaryOrAllOthers")
@@ -118,7 +119,7 @@
     Choose({ kB }, { kB, kC }, { { kB, copy }, { kC, copy } }, rule).mReady);
   const auto alone = Choose({ kB }, { kB }, { { kB, copy } }, rule);
   CHECK(alone.mReady);
-  CHECK(alone.mMayLack);
+  CHECK(alone.mMayMissCommits);
 }
 
 } // namespace peridotspool::ledger
--- a/test/membership/UpstreamRegistryTest.cpp
+++ b/test/membership/UpstreamRegistryTest.cpp
@@ -29,20 +29,20 @@
 }
 
 Address
-RegistryAddress(std::uint64_t aLife)
+RegistryAddress(std::uint64_t aIncarnation)
 {
-  return { "127.0.0.1", static_cast<std::uint16_t>(100 + aLife) };
+  return { "127.0.0.1", static_cast<std::uint16_t>(100 + aIncarnation) };
 }
 
-/** A registry, and an entry that hears what it sends unless it is lost. */
-struct Pair
+/** A registry, with functions that deliver its pushes to a directory. */
+struct RegistryLink
 {
   UpstreamRegistry mRegistry;
   Address mAt;
 
-  explicit Pair(std::uint64_t aLife)
-    : mRegistry({ .mLife = RegistryLife(aLife) })
-    , mAt(RegistryAddress(aLife))
+  explicit RegistryLink(std::uint64_t aIncarnation)
+    : mRegistry({ .mRegistryIncarnation = RegistryIncarnation(aIncarnation) })
+    , mAt(RegistryAddress(aIncarnation))
   {
   }
 
@@ -51,13 +51,13 @@
                TimePoint aNow) const
   {
     for (const RegistrySend& send : aSends) {
-      aDirectory.Take(mAt, send.mPush, aNow);
+      aDirectory.ApplyPush(mAt, send.mPush, aNow);
     }
   }
   void Pull(UpstreamDirectory& aDirectory, TimePoint aNow)
   {
     Deliver(aDirectory,
-            mRegistry.TakePull(kEntry, aDirectory.PullFor(mAt), aNow),
+            mRegistry.HandlePull(kEntry, aDirectory.PullFor(mAt), aNow),
             aNow);
   }
 };
@@ -72,52 +72,55 @@
 
 } // namespace
 
-TEST_CASE("ASubscriberIsToldOfALeavingUpstreamAtOnce")
+TEST_CASE("SubscriberIsNotifiedImmediatelyOfALeavingUpstream")
 {
-  Pair one(1);
+  RegistryLink one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
-  one.Deliver(directory, one.mRegistry.TakeReport(Report(1), At(10)), At(10));
+  one.Deliver(
+    directory, one.mRegistry.HandleHeartbeat(Report(1), At(10)), At(10));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   one.Deliver(
     directory,
-    one.mRegistry.TakeReport(Report(2, UpstreamStage::kDraining), At(20)),
+    one.mRegistry.HandleHeartbeat(Report(2, UpstreamStage::kDraining), At(20)),
     At(20));
   CHECK(StageOf(directory) == UpstreamStage::kDraining);
 }
 
-// Symptom: an upstream that had said that it drains was sent work again.
-// Sequence: a heartbeat that was delayed by a cut came after the one that said
-// so, at the same replica or at another one.
-// Cause: the last to come was taken for the newest.
-TEST_CASE("ALateHeartbeatBringsNoLeavingUpstreamBack")
+// Guards against new requests to a draining upstream: a heartbeat delayed by a
+// partition arrives after the one that reported draining, at the same or
+// another replica, and the last one to arrive is treated as the newest.
+TEST_CASE("LateHeartbeatDoesNotMakeALeavingUpstreamReady")
 {
-  Pair one(1);
-  Pair two(2);
+  RegistryLink one(1);
+  RegistryLink two(2);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
   two.Pull(directory, At(0));
   one.Deliver(
     directory,
-    one.mRegistry.TakeReport(Report(5, UpstreamStage::kDraining), At(1)),
+    one.mRegistry.HandleHeartbeat(Report(5, UpstreamStage::kDraining), At(1)),
     At(1));
-  one.Deliver(directory, one.mRegistry.TakeReport(Report(4), At(2)), At(2));
-  two.Deliver(directory, two.mRegistry.TakeReport(Report(4), At(3)), At(3));
+  one.Deliver(
+    directory, one.mRegistry.HandleHeartbeat(Report(4), At(2)), At(2));
+  two.Deliver(
+    directory, two.mRegistry.HandleHeartbeat(Report(4), At(3)), At(3));
   CHECK(StageOf(directory) == UpstreamStage::kDraining);
-  two.Deliver(directory, two.mRegistry.TakeGoodbye(kName, {}, At(4)), At(4));
+  two.Deliver(
+    directory, two.mRegistry.HandleDeregistration(kName, {}, At(4)), At(4));
   CHECK(StageOf(directory) == UpstreamStage::kGone);
   CHECK(directory.Find(kName)->mReport.mAddress.mPort == 80);
 }
 
-// Symptom: one entry went on sending to a leaving upstream for seconds.
-// Sequence: the push that told it was lost with its connection.
-// Cause: a push was sent once.
-TEST_CASE("APushThatWasLostIsSentAgainUntilItIsConfirmed")
+// Guards against an entry that continues for seconds to send requests to a
+// leaving upstream because the push was lost with its connection and not
+// retried.
+TEST_CASE("LostPushIsSentAgainUntilItIsConfirmed")
 {
-  Pair one(1);
+  RegistryLink one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
-  one.mRegistry.TakeReport(Report(1, UpstreamStage::kDraining), At(10));
+  one.mRegistry.HandleHeartbeat(Report(1, UpstreamStage::kDraining), At(10));
   CHECK(directory.Find(kName) == nullptr);
   one.Deliver(directory, one.mRegistry.Tick(At(300)), At(300));
   CHECK(StageOf(directory) == UpstreamStage::kDraining);
@@ -125,32 +128,33 @@
   CHECK(one.mRegistry.Tick(At(700)).empty());
 }
 
-TEST_CASE("ARegistryThatRestartedTakesNothingAway")
+TEST_CASE("RestartOfARegistryRemovesNoUpstreams")
 {
   UpstreamDirectory directory;
-  Pair before(1);
+  RegistryLink before(1);
   before.Pull(directory, At(0));
   before.Deliver(
-    directory, before.mRegistry.TakeReport(Report(3), At(1)), At(1));
-  Pair after(2);
+    directory, before.mRegistry.HandleHeartbeat(Report(3), At(1)), At(1));
+  RegistryLink after(2);
   after.mAt = before.mAt;
   after.Pull(directory, At(100));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   after.Deliver(
-    directory, after.mRegistry.TakeReport(Report(4), At(200)), At(200));
+    directory, after.mRegistry.HandleHeartbeat(Report(4), At(200)), At(200));
   CHECK(directory.Find(kName)->mReport.mSequence == 4);
 }
 
-TEST_CASE("AnUpstreamIsSilentOnlyWhenNoRegistryHearsIt")
+TEST_CASE("UpstreamIsSilentOnlyIfNoRegistryReceivesItsHeartbeats")
 {
-  Pair one(1);
-  Pair two(2);
+  RegistryLink one(1);
+  RegistryLink two(2);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
   two.Pull(directory, At(0));
-  one.Deliver(directory, one.mRegistry.TakeReport(Report(1), At(1)), At(1));
+  one.Deliver(
+    directory, one.mRegistry.HandleHeartbeat(Report(1), At(1)), At(1));
   two.Deliver(
-    directory, two.mRegistry.TakeReport(Report(2), At(3000)), At(3000));
+    directory, two.mRegistry.HandleHeartbeat(Report(2), At(3000)), At(3000));
   for (int ms = 300; ms <= 9000; ms += 300) {
     one.Pull(directory, At(ms));
     two.Pull(directory, At(ms));
@@ -160,81 +164,84 @@
   }
 }
 
-// Symptom: an upstream that had crashed and come back was sent nothing for a
-// minute, or was taken for gone for ever.
-// Sequence: it starts again under its name and counts its heartbeats anew.
-// Cause: a lower number was taken for a late heartbeat of the same life.
-TEST_CASE("AnUpstreamThatRestartsUnderItsNameIsKnownAnewAtOnce")
+// Guards against an upstream that receives no requests for a minute, or ever,
+// after a crash: it restarts under the same name, its sequence numbers start
+// again, and a lower number is treated as a late heartbeat of the same
+// incarnation.
+TEST_CASE("UpstreamThatRestartsUnderItsNameIsReadyImmediately")
 {
-  Pair one(1);
-  Pair two(2);
+  RegistryLink one(1);
+  RegistryLink two(2);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
   two.Pull(directory, At(0));
   UpstreamReport before = Report(50, UpstreamStage::kDraining);
   before.mIncarnation = Incarnation(1000);
-  one.Deliver(directory, one.mRegistry.TakeReport(before, At(1)), At(1));
-  two.Deliver(directory, two.mRegistry.TakeReport(before, At(2)), At(2));
-  two.Deliver(directory,
-              two.mRegistry.TakeGoodbye(kName, before.mIncarnation, At(3)),
-              At(3));
+  one.Deliver(directory, one.mRegistry.HandleHeartbeat(before, At(1)), At(1));
+  two.Deliver(directory, two.mRegistry.HandleHeartbeat(before, At(2)), At(2));
+  two.Deliver(
+    directory,
+    two.mRegistry.HandleDeregistration(kName, before.mIncarnation, At(3)),
+    At(3));
   UpstreamReport after = Report(1);
   after.mIncarnation = Incarnation(2000);
   after.mAddress.mPort = 81;
-  two.Deliver(directory, two.mRegistry.TakeReport(after, At(20)), At(20));
+  two.Deliver(directory, two.mRegistry.HandleHeartbeat(after, At(20)), At(20));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   CHECK(directory.Find(kName)->mReport.mAddress.mPort == 81);
-  one.Deliver(directory, one.mRegistry.TakeReport(after, At(40)), At(40));
+  one.Deliver(directory, one.mRegistry.HandleHeartbeat(after, At(40)), At(40));
   CHECK(StageOf(directory) == UpstreamStage::kReady);
 }
 
-// Symptom: a running upstream was given up, or sent to an address of before.
-// Sequence: a heartbeat or a goodbye of its earlier life was held up by a cut,
-// or a replica that was cut off still tells what it heard of that life.
-// Cause: whoever spoke last spoke for the name.
-TEST_CASE("AnEarlierLifeNeverSpeaksForALaterOne")
+// Guards against treating a running upstream as gone, or using its previous
+// address: a heartbeat or deregistration of an earlier incarnation is delayed
+// by a partition, or a partitioned replica still publishes that incarnation,
+// and the last report for the name wins.
+TEST_CASE("ReportsOfAnEarlierIncarnationDoNotAffectALaterOne")
 {
-  Pair one(1);
-  Pair two(2);
+  RegistryLink one(1);
+  RegistryLink two(2);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
   two.Pull(directory, At(0));
   UpstreamReport after = Report(1);
   after.mIncarnation = Incarnation(2000);
-  one.Deliver(directory, one.mRegistry.TakeReport(after, At(1)), At(1));
+  one.Deliver(directory, one.mRegistry.HandleHeartbeat(after, At(1)), At(1));
   UpstreamReport before = Report(90, UpstreamStage::kDraining);
   before.mIncarnation = Incarnation(1000);
   before.mAddress.mPort = 79;
-  const auto late = [&](Pair& aPair, int aMs) {
-    aPair.Deliver(
-      directory, aPair.mRegistry.TakeReport(before, At(aMs)), At(aMs));
-    aPair.Deliver(
-      directory,
-      aPair.mRegistry.TakeGoodbye(kName, before.mIncarnation, At(aMs + 1)),
-      At(aMs + 1));
+  const auto late = [&](RegistryLink& aLink, int aMs) {
+    aLink.Deliver(
+      directory, aLink.mRegistry.HandleHeartbeat(before, At(aMs)), At(aMs));
+    aLink.Deliver(directory,
+                  aLink.mRegistry.HandleDeregistration(
+                    kName, before.mIncarnation, At(aMs + 1)),
+                  At(aMs + 1));
   };
   late(one, 100);
   late(two, 200);
   CHECK(StageOf(directory) == UpstreamStage::kReady);
   CHECK(directory.Find(kName)->mReport.mAddress.mPort == 80);
-  // The replica that knows the earlier life only does not hear this one.
+  // The replica that knows only the earlier incarnation doesn't receive
+  // heartbeats of the current one.
   for (int ms = 300; ms <= 6000; ms += 300) {
     two.Pull(directory, At(ms));
     two.Deliver(directory, two.mRegistry.Tick(At(ms)), At(ms));
     after.mSequence += 1;
-    one.mRegistry.TakeReport(after, At(ms));
+    one.mRegistry.HandleHeartbeat(after, At(ms));
   }
   CHECK_FALSE(directory.Find(kName)->mSilent);
-  // A goodbye that names no life ends the one that is known.
-  one.Deliver(
-    directory, one.mRegistry.TakeGoodbye(kName, {}, At(6100)), At(6100));
+  // A deregistration that specifies no incarnation ends the known one.
+  one.Deliver(directory,
+              one.mRegistry.HandleDeregistration(kName, {}, At(6100)),
+              At(6100));
   CHECK(StageOf(directory) == UpstreamStage::kGone);
 }
 
-TEST_CASE("WhateverIsLostOrDoubledAllEntriesComeToKnowTheSame")
+TEST_CASE("EntriesConvergeWhenPushesAreLostOrDuplicated")
 {
   rc::prop("lossy", [] {
-    Pair one(1);
+    RegistryLink one(1);
     UpstreamDirectory directory;
     int ms = 0;
     const auto lossy = [&](const std::vector<RegistrySend>& aSends) {
@@ -245,12 +252,13 @@
     };
     std::uint64_t sequence = 0;
     for (; ms < 3000; ms += 50) {
-      lossy(one.mRegistry.TakePull(kEntry, directory.PullFor(one.mAt), At(ms)));
+      lossy(
+        one.mRegistry.HandlePull(kEntry, directory.PullFor(one.mAt), At(ms)));
       if (*rc::gen::inRange(0, 4) == 0) {
         UpstreamReport report = Report(++sequence);
         report.mName = UpstreamName(std::to_string(*rc::gen::inRange(0, 5)));
         report.mSlots = static_cast<std::uint32_t>(*rc::gen::inRange(1, 9));
-        lossy(one.mRegistry.TakeReport(report, At(ms)));
+        lossy(one.mRegistry.HandleHeartbeat(report, At(ms)));
       }
       lossy(one.mRegistry.Tick(At(ms)));
     }
@@ -261,24 +269,22 @@
     one.Pull(whole, At(ms));
     RC_ASSERT(whole.All().size() == directory.All().size());
     for (const auto& [name, known] : whole.All()) {
-      // Heartbeats that change nothing are not told.
-      UpstreamReport told = directory.Find(name)->mReport;
-      told.mSequence = known.mReport.mSequence;
-      RC_ASSERT(told == known.mReport);
+      // Heartbeats that change only the sequence number are not pushed.
+      UpstreamReport received = directory.Find(name)->mReport;
+      received.mSequence = known.mReport.mSequence;
+      RC_ASSERT(received == known.mReport);
     }
   });
 }
 
-// Symptom: on a large deployment work was sent to leaving upstreams 2.7 s after
-// they had said so.
-// Sequence: a hundred upstreams leave within a tenth of a second, at a registry
-// with a slow link and eighty subscribers.
-// Cause: each push repeated all that was not confirmed yet, a thousand times
-// the bytes that there was to tell.
-TEST_CASE("ABurstOfLeavingUpstreamsIsToldOnceAndTogether")
+// Guards against requests to leaving upstreams, seen 2.7 s after they reported
+// that they leave: 100 upstreams leave within 0.1 s at a registry with a slow
+// link and 80 subscribers. If each push repeats all unconfirmed changes, 1000
+// times the necessary bytes are sent.
+TEST_CASE("BurstOfLeavingUpstreamsIsPushedOnceAndBatched")
 {
   constexpr int kUpstreams = 100;
-  Pair one(1);
+  RegistryLink one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
   std::size_t pushes = 0;
@@ -294,7 +300,7 @@
     if (ms <= kUpstreams) {
       UpstreamReport report = Report(1, UpstreamStage::kDraining);
       report.mName = UpstreamName(std::to_string(ms));
-      send(one.mRegistry.TakeReport(report, At(ms)), ms);
+      send(one.mRegistry.HandleHeartbeat(report, At(ms)), ms);
     }
     send(one.mRegistry.Tick(At(ms)), ms);
   }
@@ -303,50 +309,49 @@
   CHECK(pushes <= kUpstreams / 10 + 5);
 }
 
-// Symptom: an entry never heard of an upstream again.
-// Sequence: one push was lost with its connection, and others followed it every
-// tenth of a second.
-// Cause: a push that follows another one soon holds only what is newer, and the
-// time for sending all again began anew with each.
-TEST_CASE("APushThatWasLostAmongOthersIsSentAgain")
+// Guards against an entry that never receives an upstream's row: one push is
+// lost with its connection, and others follow every 0.1 s. Each holds only
+// newer changes, and each restarts the timer for sending everything again.
+TEST_CASE("LostPushIsSentAgainWhileOthersFollow")
 {
-  Pair one(1);
+  RegistryLink one(1);
   UpstreamDirectory directory;
   one.Pull(directory, At(0));
-  one.mRegistry.TakeReport(Report(1), At(100));
+  one.mRegistry.HandleHeartbeat(Report(1), At(100));
   for (int ms = 200; ms <= 600; ms += 100) {
     UpstreamReport report = Report(1);
     report.mName = UpstreamName(std::to_string(ms));
-    one.Deliver(directory, one.mRegistry.TakeReport(report, At(ms)), At(ms));
+    one.Deliver(
+      directory, one.mRegistry.HandleHeartbeat(report, At(ms)), At(ms));
     one.Pull(directory, At(ms + 1));
   }
   CHECK(directory.Find(kName) != nullptr);
   CHECK(directory.All().size() == 6);
 }
 
-// Symptom: with three hundred entries a replica spent all its time on pushes,
-// and its memory on those that waited.
-// Sequence: three thousand upstreams announce themselves within seconds.
-// Cause: the same number of pushes a second to each, however many they are.
-TEST_CASE("PushesASecondAreBoundedHoweverManySubscribersThereAre")
+// Guards against a replica that spends all its time on pushes and its memory on
+// queued ones: 3000 upstreams register within seconds, 300 entries subscribe,
+// and the push rate per subscriber doesn't depend on their number.
+TEST_CASE("PushRateIsBoundedForManySubscribers")
 {
   const auto pushesInASecond = [](int aSubscribers) {
-    UpstreamRegistry registry({ .mLife = RegistryLife(1) });
+    UpstreamRegistry registry(
+      { .mRegistryIncarnation = RegistryIncarnation(1) });
     std::size_t pushes = 0;
     for (int ms = 1; ms <= 1000; ++ms) {
       if (ms % 300 == 1) {
         for (int i = 0; i < aSubscribers; ++i) {
           const Address entry{ "127.0.0.1",
                                static_cast<std::uint16_t>(1000 + i) };
-          registry.TakePull(
-            entry,
-            { .mLife = RegistryLife(1), .mVersion = registry.Version() },
-            At(ms));
+          registry.HandlePull(entry,
+                              { .mRegistryIncarnation = RegistryIncarnation(1),
+                                .mVersion = registry.Version() },
+                              At(ms));
         }
       }
       UpstreamReport report = Report(1);
       report.mName = UpstreamName(std::to_string(ms));
-      pushes += registry.TakeReport(report, At(ms)).size();
+      pushes += registry.HandleHeartbeat(report, At(ms)).size();
       pushes += registry.Tick(At(ms)).size();
     }
     return pushes;
--- a/test/request/AudienceTest.cpp
+++ b/test/request/AnswerSubscribersTest.cpp
@@ -1,5 +1,5 @@
 // ctest-labels: promise-whole-own-answer
-#include "request/Audience.h"
+#include "request/AnswerSubscribers.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -11,14 +11,14 @@
 
 const RequestKey kKey{ CustomerName("kilimanjaro"), "repaste-22" };
 
-/** What a caller holds after its replies: as a client of ours keeps it. */
-struct CallerCopy
+/** The text and state that a client derives from the replies. */
+struct ClientState
 {
   std::string mText;
   AttemptNumber mLineage;
   bool mDone = false;
 
-  void Take(const Effects& aEffects, CallId aExchange)
+  void Apply(const Effects& aEffects, CallId aExchange)
   {
     for (const Effect& effect : aEffects) {
       const auto* reply = std::get_if<ReplyEffect>(&effect);
@@ -41,18 +41,18 @@
 
 } // namespace
 
-TEST_CASE("ListenerThatJoinsLateGetsEveryByteOnce")
+TEST_CASE("LateSubscriberReceivesEveryByteOnce")
 {
-  rc::prop("whatever the pieces and the moment of joining", [] {
+  rc::prop("any pieces and any time of subscribing", [] {
     const auto pieces = *rc::gen::container<std::vector<std::string>>(
       rc::gen::string<std::string>());
     const auto joinAt = *rc::gen::inRange<std::size_t>(0, pieces.size() + 1);
-    Audience audience;
+    AnswerSubscribers subscribers;
     Answer answer{ .mLineage = AttemptNumber(1) };
-    CallerCopy copy;
+    ClientState client;
     for (std::size_t index = 0; index <= pieces.size(); ++index) {
       if (index == joinAt) {
-        audience.Add(CallId(7), {});
+        subscribers.Add(CallId(7), {});
       }
       Effects effects;
       if (index < pieces.size()) {
@@ -60,44 +60,43 @@
       } else {
         answer.mOutcome = ledger::Outcome{};
       }
-      audience.Publish(kKey, answer, effects);
-      copy.Take(effects, CallId(7));
+      subscribers.Publish(kKey, answer, effects);
+      client.Apply(effects, CallId(7));
     }
-    RC_ASSERT(copy.mText == answer.mText);
-    RC_ASSERT(copy.mDone);
+    RC_ASSERT(client.mText == answer.mText);
+    RC_ASSERT(client.mDone);
   });
 }
 
-TEST_CASE("CallerThatHasHalfOfAnotherTextBeginsAnew")
+TEST_CASE("CallerWithTextOfAnotherLineageRestarts")
 {
-  // Symptom: a plan whose first half is from one answer and whose second half
-  // is from another. Sequence: the caller had 4 bytes; the executor and its
-  // engine were lost; the request began again at another engine; the caller
-  // attaches with its 4 bytes. Cause: an offset into one text is used in
-  // another.
-  Audience audience;
-  audience.Add(CallId(7), { AttemptNumber(1), 4 });
+  // Guards against an answer joined from two texts: the caller has 4 bytes when
+  // the executor and its engine are lost, the request restarts at another
+  // engine, and the caller attaches with its 4 bytes. An offset into the first
+  // text must not be applied to the second one.
+  AnswerSubscribers subscribers;
+  subscribers.Add(CallId(7), { AttemptNumber(1), 4 });
   const Answer answer{ .mLineage = AttemptNumber(1001),
                        .mText = "use feeder 12" };
   Effects effects;
-  audience.Publish(kKey, answer, effects);
-  CallerCopy copy{ .mText = "put ", .mLineage = AttemptNumber(1) };
-  copy.Take(effects, CallId(7));
-  CHECK(copy.mText == "use feeder 12");
-  CHECK(copy.mLineage == AttemptNumber(1001));
+  subscribers.Publish(kKey, answer, effects);
+  ClientState client{ .mText = "put ", .mLineage = AttemptNumber(1) };
+  client.Apply(effects, CallId(7));
+  CHECK(client.mText == "use feeder 12");
+  CHECK(client.mLineage == AttemptNumber(1001));
 }
 
-TEST_CASE("ListenersAreLetGoAfterTheOutcome")
+TEST_CASE("SubscribersAreRemovedAfterTheOutcome")
 {
-  Audience audience;
-  audience.Add(CallId(7), {});
-  audience.Add(MemberId(3), {});
+  AnswerSubscribers subscribers;
+  subscribers.Add(CallId(7), {});
+  subscribers.Add(MemberId(3), {});
   Answer answer;
   answer.mOutcome = ledger::Outcome{};
   Effects effects;
-  audience.Publish(kKey, answer, effects);
+  subscribers.Publish(kKey, answer, effects);
   CHECK(effects.size() == 2);
-  CHECK(audience.Empty());
+  CHECK(subscribers.Empty());
 }
 
 } // namespace peridotspool::request
--- a/test/request/ManagerBench.h
+++ b/test/request/ManagerFixture.h
@@ -11,15 +11,15 @@
 namespace peridotspool::request {
 
 /**
- * Request managers of a few entries around one ledger that never fails and a
- * test that plays the upstreams. Messages between entries can be lost.
+ * The request managers of several entries with one ledger that never fails. The
+ * test acts as the upstreams. Messages between entries can be dropped.
  */
-class ManagerBench
+class ManagerFixture
 {
 public:
-  explicit ManagerBench(std::size_t aEntries);
+  explicit ManagerFixture(std::size_t aEntries);
 
-  /** A caller's view of one exchange, kept as a client of ours keeps it. */
+  /** The state of one exchange as a client derives it from the replies. */
   struct Caller
   {
     std::string mText;
@@ -42,27 +42,27 @@
   CallId Attach(std::size_t aEntry, const Caller& aHad);
   void Cancel(std::size_t aEntry);
   void Drain(std::size_t aEntry);
-  /** Takes an entry away; the others learn it from the member list. */
+  /** Removes an entry; the others learn of it from the member list. */
   void Kill(std::size_t aEntry);
   void Feed(const Call& aCall, UpstreamOutcome aOutcome);
   void Advance(Duration aTime);
 
-  /** Started calls, oldest first. */
+  /** Returns the started calls, ordered by entry and call ID. */
   std::vector<Call> Calls() const;
   const Caller& CallerOf(CallId aExchange) const;
   std::uint64_t Counted(Tally aTally) const;
   const ledger::RequestRecord* Record() const;
 
-  /** Every StartUpstreamEffect ever, dropped or not. */
+  /** Every StartUpstreamEffect, including those of dropped calls. */
   std::vector<StartUpstreamEffect> mStarted;
-  /** While true, messages between entries vanish. */
-  bool mLoseRelays = false;
-  /** While true, the ledger keeps its answers back. */
-  bool mHoldLedger = false;
-  /** While the answers are kept back, this many still go through. */
-  std::size_t mLetThrough = 0;
-  /** For showing tests fail: a ledger that forgets dispatch intents. */
-  bool mForgetIntents = false;
+  /** While true, messages between entries are dropped. */
+  bool mDropRelays = false;
+  /** While true, the ledger's answers are held back. */
+  bool mHoldLedgerAnswers = false;
+  /** While answers are held back, this many are still delivered. */
+  std::size_t mHeldAnswersToRelease = 0;
+  /** Makes the ledger ignore dispatch intents, to show that tests then fail. */
+  bool mIgnoreIntents = false;
 
 private:
   struct Entry
@@ -81,15 +81,15 @@
   Entry& At(std::size_t aEntry) { return mEntries.at(aEntry); }
   Entry* Find(MemberId aId);
   void Step(Entry& aEntry, const Event& aEvent);
-  void TellMembers();
-  void Carry(Entry& aEntry, const ProposeEffect& aEffect);
-  void Carry(Entry& aEntry, const RelayEffect& aEffect);
-  void Carry(Entry& aEntry, const StartUpstreamEffect& aEffect);
-  void Carry(Entry& aEntry, const DropUpstreamEffect& aEffect);
-  void Carry(Entry& aEntry, const ReplyEffect& aEffect);
-  void Carry(Entry& aEntry, const CountEffect& aEffect);
+  void PublishMembers();
+  void Perform(Entry& aEntry, const ProposeEffect& aEffect);
+  void Perform(Entry& aEntry, const RelayEffect& aEffect);
+  void Perform(Entry& aEntry, const StartUpstreamEffect& aEffect);
+  void Perform(Entry& aEntry, const DropUpstreamEffect& aEffect);
+  void Perform(Entry& aEntry, const ReplyEffect& aEffect);
+  void Perform(Entry& aEntry, const CountEffect& aEffect);
   template<typename Other>
-  void Carry(Entry& /*aEntry*/, const Other& /*aEffect*/)
+  void Perform(Entry& /*aEntry*/, const Other& /*aEffect*/)
   {
   }
   ledger::OperationAnswer Apply(const ledger::Operation& aOperation);
@@ -106,12 +106,12 @@
   CallId mLastExchange{ 1000 };
 };
 
-/** Shorthands for what an upstream says about the bench's one request. */
+/** Make an upstream's events for the fixture's one request. */
 UpstreamPiece
-PieceFor(const ManagerBench::Call& aCall,
+PieceFor(const ManagerFixture::Call& aCall,
          std::uint64_t aIndex,
          const std::string& aText);
 UpstreamDone
-DoneFor(const ManagerBench::Call& aCall, std::uint64_t aTokens);
+DoneFor(const ManagerFixture::Call& aCall, std::uint64_t aTokens);
 
 } // namespace peridotspool::request
--- a/test/rollout/AllowanceAccountTest.cpp
+++ b/test/rollout/AllowanceAccountTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** What an entry holds, as RolloutGate keeps it. */
+/** The allowance of an entry as RolloutGate stores it. */
 struct Holder
 {
   std::uint64_t mUsed = 0;
@@ -38,33 +38,37 @@
   RolloutProgress mProgress;
 };
 
-/** Takes any message of a queue, loses it, or leaves it for later. */
+/**
+ * Removes a random message from a queue. Returns false if the message is lost
+ * or there is none.
+ */
 template<typename T>
 bool
-TakeAny(std::deque<T>& aQueue, std::mt19937& aRandom, T& aTaken)
+ReceiveAny(std::deque<T>& aQueue, std::mt19937& aRandom, T& aReceived)
 {
   if (aQueue.empty()) {
     return false;
   }
   const std::size_t place = aRandom() % aQueue.size();
-  aTaken = aQueue[place];
+  aReceived = aQueue[place];
   aQueue.erase(aQueue.begin() + static_cast<std::ptrdiff_t>(place));
   return aRandom() % 8 != 0;
 }
 
 } // namespace
 
-// Guards against more requests than were reserved, whatever messages are lost
-// or overtake each other, and however often entries and leaders are replaced.
+// Guards against more requests than were reserved when messages are lost or
+// reordered and entries and leaders are replaced.
 TEST_CASE("EntriesNeverUseMoreThanWasReserved")
 {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
     std::map<std::uint64_t, Holder> entries;
-    for (std::uint64_t life = 1; life <= 1 + seed % 12; ++life) {
-      entries[life] = {};
+    for (std::uint64_t incarnation = 1; incarnation <= 1 + seed % 12;
+         ++incarnation) {
+      entries[incarnation] = {};
     }
-    std::uint64_t lastLife = entries.size();
+    std::uint64_t lastIncarnation = entries.size();
     std::uint64_t reserved = 10;
     std::uint64_t used = 0;
     std::uint64_t term = 1;
@@ -100,10 +104,10 @@
           break;
         case 5: {
           Report report;
-          if (TakeAny(reports, random, report)) {
-            account.Take(report.mLife,
-                         report.mProgress,
-                         report.mTerm == term ? report.mSequence : 0);
+          if (ReceiveAny(reports, random, report)) {
+            account.RecordProgress(report.mLife,
+                                   report.mProgress,
+                                   report.mTerm == term ? report.mSequence : 0);
             ++sequence;
             updates.push_back({ .mLife = report.mLife,
                                 .mTerm = term,
@@ -115,7 +119,7 @@
         }
         case 6: {
           Update update;
-          if (TakeAny(updates, random, update) &&
+          if (ReceiveAny(updates, random, update) &&
               entries.contains(update.mLife)) {
             Holder& to = entries[update.mLife];
             if (std::pair(update.mTerm, update.mSequence) >
@@ -140,7 +144,7 @@
             account = AllowanceAccount(reserved);
           } else if (random() % 10 == 0) {
             entries.erase(entry);
-            entries[++lastLife] = {};
+            entries[++lastIncarnation] = {};
           }
           break;
       }
@@ -151,14 +155,14 @@
   }
 }
 
-TEST_CASE("WhatAnEntryCanNoLongerUseIsGivenToAnother")
+TEST_CASE("UnusableAllowanceIsGrantedToAnotherEntry")
 {
   AllowanceAccount account(0);
-  account.Take(1, {}, 0);
+  account.RecordProgress(1, {}, 0);
   CHECK(account.Allow(1, 2, 2, 1) == 2);
   CHECK(account.Allow(2, 2, 2, 1) == 0);
-  // Its lease has run out, and it has taken the last update.
-  account.Take(1, { .mUsed = 1, .mAllowed = 1 }, 1);
+  // Its lease has expired, and it has applied the last update.
+  account.RecordProgress(1, { .mUsed = 1, .mAllowed = 1 }, 1);
   CHECK(account.Allow(2, 2, 2, 2) == 1);
 }
 
--- a/test/rollout/RolloutGateTest.cpp
+++ b/test/rollout/RolloutGateTest.cpp
@@ -38,7 +38,7 @@
                                      .mAllowed = aAllowed } };
 }
 
-/** Of so many requests, those that go to the new version. */
+/** Returns how many of aCount requests go to the new version. */
 int
 SentToNew(RolloutGate& aGate, int aCount, TimePoint aNow)
 {
@@ -57,16 +57,16 @@
 TEST_CASE("AVersionThatWasNotOrderedGetsNothing")
 {
   RolloutGate gate;
-  gate.Take(Update(1, {}), At(0));
+  gate.ApplyUpdate(Update(1, {}), At(0));
   CHECK(gate.ChooseFirst(kService, "r", 1, { { kOld, 2 } }, At(0))
           .mFilter.Allows(kOld));
   CHECK(SentToNew(gate, 100, At(1)) == 0);
-  // Its upstreams are all that is left.
+  // The new version's upstreams are the only ones left.
   CHECK(gate.ChooseFirst(kService, "r", 1, { { kNew, 2 } }, At(2))
           .mFilter.Allows(kNew));
 }
 
-// Guards against an entry that has just started and guesses.
+// Guards against an entry that selects a version before its first update.
 TEST_CASE("WithoutAnyUpdateNoVersionIsChosenAmongSeveral")
 {
   RolloutGate gate;
@@ -80,35 +80,36 @@
 TEST_CASE("TheNewVersionGetsWhatIsAllowedAndNoMore")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(0, 3) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(0, 3) }), At(0));
   CHECK(SentToNew(gate, 1000, At(1)) == 3);
-  gate.Take(Update(2, { Running(0, 5) }), At(300));
+  gate.ApplyUpdate(Update(2, { Running(0, 5) }), At(300));
   CHECK(SentToNew(gate, 1000, At(301)) == 2);
 }
 
-// Guards against an entry that goes on sending to a version that the leader, of
-// which it hears nothing, has rolled back.
+// Guards against an entry that continues to send requests to a version that the
+// leader has rolled back while the entry cannot reach the leader.
 TEST_CASE("WithoutTheLeaderTheNewVersionGetsNothing")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(500, 100) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(500, 100) }), At(0));
   CHECK(SentToNew(gate, 1000, At(1999)) > 400);
   CHECK(SentToNew(gate, 1000, At(2000)) == 0);
 }
 
-TEST_CASE("AnUpdateThatWasOvertakenIsDropped")
+TEST_CASE("AnOutOfOrderUpdateIsDropped")
 {
   RolloutGate gate;
-  gate.Take(Update(2, { Running(0, 0) }), At(0));
-  gate.Take(Update(1, { Running(1000, 0) }), At(1));
+  gate.ApplyUpdate(Update(2, { Running(0, 0) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(1000, 0) }), At(1));
   CHECK(SentToNew(gate, 100, At(2)) == 0);
 }
 
 TEST_CASE("AfterCompletionOnlyTheNewVersionGetsRequests")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { { .mService = kService, .mCurrent = kNew } }), At(0));
-  const auto choice = gate.ChooseRepeat(kService, kBoth, At(60000));
+  gate.ApplyUpdate(Update(1, { { .mService = kService, .mCurrent = kNew } }),
+                   At(0));
+  const auto choice = gate.ChooseRetry(kService, kBoth, At(60000));
   CHECK(choice.mFilter.Allows(kNew));
   CHECK_FALSE(choice.mFilter.Allows(kOld));
 }
@@ -116,31 +117,31 @@
 TEST_CASE("AfterARollbackTheNewVersionGetsNothing")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { { .mService = kService, .mRolledBack = { kNew } } }),
-            At(0));
+  gate.ApplyUpdate(
+    Update(1, { { .mService = kService, .mRolledBack = { kNew } } }), At(0));
   CHECK(SentToNew(gate, 1000, At(60000)) == 0);
 }
 
-// Guards against requests for upstreams that stop the moment a rollout is
-// completed, at an entry that hasn't heard of it.
+// Guards against requests to upstreams that stop when a rollout is completed,
+// at an entry that has not received the update.
 TEST_CASE("AtTheEndOfTheShiftAnEntryWithoutALeaseUsesBothVersions")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(1000, 0) }), At(0));
-  CHECK_FALSE(gate.ChooseRepeat(kService, kBoth, At(1)).mFilter.Allows(kOld));
-  const auto choice = gate.ChooseRepeat(kService, kBoth, At(2500));
+  gate.ApplyUpdate(Update(1, { Running(1000, 0) }), At(0));
+  CHECK_FALSE(gate.ChooseRetry(kService, kBoth, At(1)).mFilter.Allows(kOld));
+  const auto choice = gate.ChooseRetry(kService, kBoth, At(2500));
   CHECK(choice.mFilter.Allows(kOld));
   CHECK(choice.mFilter.Allows(kNew));
 }
 
-TEST_CASE("WhileItIsTriedOnlyFewOfItsUpstreamsAreUsed")
+TEST_CASE("WhileWatchedOnlyFewUpstreamsOfTheNewVersionAreUsed")
 {
   RolloutGate gate;
-  gate.Take(Update(1, { Running(0, 1) }), At(0));
+  gate.ApplyUpdate(Update(1, { Running(0, 1) }), At(0));
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     const auto choice = gate.ChooseFirst(kService, "r", seed, kBoth, At(500));
     if (choice.mFilter.Allows(kNew)) {
-      CHECK(choice.mFilter.mMost == 3);
+      CHECK(choice.mFilter.mMaxUpstreams == 3);
       return;
     }
   }
--- a/test/rollout/RolloutPlayTest.cpp
+++ b/test/rollout/RolloutSimulationTest.cpp
@@ -1,8 +1,8 @@
 // ctest-labels: promise-rollout
-// Plays rollouts of sound and of bad versions over many entries, with and
-// without trouble, and looks at what the new version got and how each ended.
+// Simulates rollouts of sound and bad versions over many entries, with and
+// without disruptions, and checks the new version's requests and the outcome.
 
-#include "rollout/RolloutPlay.h"
+#include "rollout/RolloutSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -26,7 +26,7 @@
                                                { 86, 60, 240 },
                                                { 300, 160, 900 } };
 
-RolloutPlayOptions
+RolloutSimulationOptions
 On(const Deployment& aDeployment, unsigned aSeed)
 {
   return { .mSeed = aSeed,
@@ -36,7 +36,8 @@
 }
 
 std::string
-ToText(const RolloutPlayOptions& aOptions, const RolloutPlayOutcome& aOutcome)
+ToText(const RolloutSimulationOptions& aOptions,
+       const RolloutSimulationOutcome& aOutcome)
 {
   return "seed " + std::to_string(aOptions.mSeed) + ", " +
          std::to_string(aOptions.mEntries) + " entries: state " +
@@ -45,12 +46,14 @@
          "), new " + std::to_string(aOutcome.mNew) + " of " +
          std::to_string(aOutcome.mRequests) + ", bad " +
          std::to_string(aOutcome.mBadAnswers) + ", late " +
-         std::to_string(aOutcome.mLate) + ", cut " +
-         std::to_string(aOutcome.mCut);
+         std::to_string(aOutcome.mLate) + ", interrupted " +
+         std::to_string(aOutcome.mInterrupted);
 }
 
-/** Route with a seventh of the requests: on the smallest deployment twelve of
- * them are tried before the shift, too few to show by. */
+/**
+ * The route has a seventh of the requests. On the smallest deployment, twelve
+ * of them reach the new version before the shift, too few to show the fault.
+ */
 const VersionFault kRareRoute = { .mFails = 0.6, .mRareRouteOnly = true };
 
 const std::vector<VersionFault> kFaults = {
@@ -64,16 +67,17 @@
 
 } // namespace
 
-// Guards against a bad version that reaches more callers than it may.
+// Guards against a bad version that receives more requests than the bound
+// allows.
 TEST_CASE("ABadVersionKeepsTheBoundsAndIsRolledBack")
 {
   for (const Deployment& deployment : kDeployments) {
     for (const VersionFault& fault : kFaults) {
       for (unsigned seed = 1; seed <= 3; ++seed) {
-        RolloutPlayOptions options = On(deployment, seed);
+        RolloutSimulationOptions options = On(deployment, seed);
         options.mFault = fault;
-        options.mLost = 0.02;
-        const RolloutPlayOutcome outcome = PlayRollout(options);
+        options.mMessageLoss = 0.02;
+        const RolloutSimulationOutcome outcome = SimulateRollout(options);
         INFO(ToText(options, outcome)
              << "; fails " << fault.mFails << " slows " << fault.mSlows
              << " from " << fault.mFromMs << " above " << fault.mAboveLoad
@@ -86,15 +90,15 @@
   }
 }
 
-// Guards against a route whose few requests are hardly tried.
+// Guards against a fault on a route that sends few requests to the new version.
 TEST_CASE("AVersionThatIsBadOnOneRouteIsRolledBack")
 {
   for (std::size_t place = 1; place < kDeployments.size(); ++place) {
     for (unsigned seed = 1; seed <= 3; ++seed) {
-      RolloutPlayOptions options = On(kDeployments[place], seed);
+      RolloutSimulationOptions options = On(kDeployments[place], seed);
       options.mFault = kRareRoute;
-      options.mLost = 0.02;
-      const RolloutPlayOutcome outcome = PlayRollout(options);
+      options.mMessageLoss = 0.02;
+      const RolloutSimulationOutcome outcome = SimulateRollout(options);
       INFO(ToText(options, outcome));
       CHECK(outcome.mState == RolloutState::kRolledBack);
       CHECK_FALSE(outcome.mOverExposed);
@@ -107,10 +111,10 @@
 TEST_CASE("AVersionThatIsBadUnderLoadIsRolledBackWhileItsShareRises")
 {
   for (unsigned seed = 1; seed <= 5; ++seed) {
-    RolloutPlayOptions options = On(kDeployments[1], seed);
+    RolloutSimulationOptions options = On(kDeployments[1], seed);
     options.mMeanMs = 1500.0;
     options.mFault = { .mFails = 0.5, .mAboveLoad = 4 };
-    const RolloutPlayOutcome outcome = PlayRollout(options);
+    const RolloutSimulationOutcome outcome = SimulateRollout(options);
     INFO(ToText(options, outcome));
     CHECK(outcome.mState == RolloutState::kRolledBack);
     CHECK_FALSE(outcome.mOverExposed);
@@ -118,34 +122,34 @@
   }
 }
 
-// Guards against sound versions that are turned back, or cut callers short.
+// Guards against rolling back sound versions, and against interrupted requests.
 TEST_CASE("ASoundVersionIsCompletedInTime")
 {
   for (const Deployment& deployment : kDeployments) {
     for (unsigned seed = 1; seed <= 10; ++seed) {
-      RolloutPlayOptions options = On(deployment, seed);
-      options.mGreyPart = seed % 2 == 0 ? 0.15 : 0.0;
-      options.mTroubleEachMs = seed % 3 == 0 ? 10000 : 0;
-      options.mLost = seed % 5 == 0 ? 0.05 : 0.0;
-      const RolloutPlayOutcome outcome = PlayRollout(options);
+      RolloutSimulationOptions options = On(deployment, seed);
+      options.mGrayFailureShare = seed % 2 == 0 ? 0.15 : 0.0;
+      options.mDisruptionPeriodMs = seed % 3 == 0 ? 10000 : 0;
+      options.mMessageLoss = seed % 5 == 0 ? 0.05 : 0.0;
+      const RolloutSimulationOutcome outcome = SimulateRollout(options);
       INFO(ToText(options, outcome));
       CHECK(outcome.mState == RolloutState::kCompleted);
       CHECK(outcome.mEndedMs <= options.mDurationMs);
-      CHECK(outcome.mCut == 0);
+      CHECK(outcome.mInterrupted == 0);
     }
   }
 }
 
-// Guards against a rollback that hangs on one leader.
+// Guards against a rollback that depends on one leader.
 TEST_CASE("ABadVersionKeepsTheBoundsWhenTheLeaderIsKilled")
 {
   for (const Deployment& deployment : kDeployments) {
     for (const std::uint64_t bad : { 1, 10, 30, 49 }) {
-      RolloutPlayOptions options = On(deployment, 1);
+      RolloutSimulationOptions options = On(deployment, 1);
       options.mFault = { .mFails = 0.3 };
       options.mLeaderKilledAtBad = bad;
-      options.mTroubleEachMs = 10000;
-      const RolloutPlayOutcome outcome = PlayRollout(options);
+      options.mDisruptionPeriodMs = 10000;
+      const RolloutSimulationOutcome outcome = SimulateRollout(options);
       INFO(ToText(options, outcome) << "; killed at bad answer " << bad);
       CHECK(outcome.mState == RolloutState::kRolledBack);
       CHECK_FALSE(outcome.mOverExposed);
@@ -154,21 +158,22 @@
   }
 }
 
-// Guards against a rollout that a new leader gives up, or forgets.
+// Guards against a rollout that a new leader aborts or loses.
 TEST_CASE("ASoundVersionIsCompletedByTheNextLeader")
 {
   for (const int killed : { 500, 3000, 6500, 8000, 9500 }) {
-    RolloutPlayOptions options = On(kDeployments[1], 1);
+    RolloutSimulationOptions options = On(kDeployments[1], 1);
     options.mLeaderKilledMs = killed;
-    const RolloutPlayOutcome outcome = PlayRollout(options);
+    const RolloutSimulationOutcome outcome = SimulateRollout(options);
     INFO(ToText(options, outcome) << "; killed after " << killed << " ms");
     CHECK(outcome.mState == RolloutState::kCompleted);
     CHECK(outcome.mEndedMs <= options.mDurationMs);
   }
 }
 
-// Prints how often bad versions are missed and sound ones rolled back, for
-// docs/design/rollout.md; PERIDOTSPOOL_PLAYS sets the seeds of each case.
+// Prints how often bad versions are missed and sound ones are rolled back, for
+// docs/design/rollout.md. PERIDOTSPOOL_PLAYS sets the number of seeds of each
+// case.
 TEST_CASE("Figures", "[.]")
 {
   const char* given = std::getenv("PERIDOTSPOOL_PLAYS");
@@ -187,13 +192,13 @@
       int late = 0;
       int inTime = 0;
       for (unsigned seed = 1; seed <= plays; ++seed) {
-        RolloutPlayOptions options = On(deployment, 1000 + seed);
+        RolloutSimulationOptions options = On(deployment, 1000 + seed);
         options.mFault = fault;
-        options.mGreyPart = seed % 2 == 0 ? 0.15 : 0.0;
-        options.mTroubleEachMs = seed % 3 == 0 ? 10000 : 0;
-        options.mLost = seed % 5 == 0 ? 0.05 : 0.01;
+        options.mGrayFailureShare = seed % 2 == 0 ? 0.15 : 0.0;
+        options.mDisruptionPeriodMs = seed % 3 == 0 ? 10000 : 0;
+        options.mMessageLoss = seed % 5 == 0 ? 0.05 : 0.01;
         options.mLeaderKilledMs = seed % 7 == 0 ? 1000 * (seed % 10) : 0;
-        const RolloutPlayOutcome outcome = PlayRollout(options);
+        const RolloutSimulationOutcome outcome = SimulateRollout(options);
         completed += outcome.mState == RolloutState::kCompleted ? 1 : 0;
         inTime += outcome.mEndedMs <= options.mDurationMs ? 1 : 0;
         overExposed += outcome.mOverExposed ? 1 : 0;
--- a/test/routing/QuarantineTableTest.cpp
+++ b/test/routing/QuarantineTableTest.cpp
@@ -16,50 +16,50 @@
            .mCrashes = { { .mUpstream = UpstreamName("u") } } };
 }
 
-QuarantineLine
-Line(std::uint64_t aContent, QuarantineStage aStage)
+QuarantineStatus
+Status(std::uint64_t aContent, QuarantineStage aStage)
 {
   return { .mContent = { .mLow = aContent }, .mStage = aStage };
 }
 
 } // namespace
 
-TEST_CASE("WhoKnowsNothingIsToldTheWholeTable")
+TEST_CASE("EntryWithoutATableGetsTheWholeTable")
 {
   QuarantineTable table;
-  CHECK(table.Since(0) == QuarantineTold{ .mFrom = 0, .mTo = 1 });
+  CHECK(table.UpdateSince(0) == QuarantineUpdate{ .mFrom = 0, .mTo = 1 });
   table.Apply(Change(1, QuarantineStage::kRefused));
   table.Apply(Change(2, QuarantineStage::kOneAtATime));
   table.Apply(Change(2, QuarantineStage::kCleared));
-  CHECK(table.Since(0).mLines ==
-        std::vector{ Line(1, QuarantineStage::kRefused) });
+  CHECK(table.UpdateSince(0).mLines ==
+        std::vector{ Status(1, QuarantineStage::kRefused) });
 }
 
-TEST_CASE("WhoKnowsAPartIsToldTheRestAndWhatWasCleared")
+TEST_CASE("EntryWithAnOlderTableGetsTheChangesAndClearings")
 {
   QuarantineTable table;
   table.Apply(Change(1, QuarantineStage::kOneAtATime));
   const std::uint64_t known = table.mNumber;
   table.Apply(Change(1, QuarantineStage::kCleared));
   table.Apply(Change(2, QuarantineStage::kRefused));
-  const QuarantineTold told = table.Since(known);
-  CHECK(told.mFrom == known);
-  CHECK(told.mTo == table.mNumber);
-  CHECK(told.mLines == std::vector{ Line(1, QuarantineStage::kCleared),
-                                    Line(2, QuarantineStage::kRefused) });
+  const QuarantineUpdate update = table.UpdateSince(known);
+  CHECK(update.mFrom == known);
+  CHECK(update.mTo == table.mNumber);
+  CHECK(update.mLines == std::vector{ Status(1, QuarantineStage::kCleared),
+                                      Status(2, QuarantineStage::kRefused) });
 }
 
-// Symptom: an entry would go on refusing by a row of a group that is gone.
-// Sequence: all disks of the group were lost and it was founded anew, so its
-// numbers begin again.
-// Cause: a number above the table's was taken for one that is up to date.
-TEST_CASE("WhoKnowsMoreThanTheTableIsToldTheWholeTable")
+// Guards against an entry that keeps refusing contents because of a row that no
+// longer exists. It happens if a known number above the table's counts as up to
+// date: all disks of the control group were lost, and a new group starts its
+// numbers from 1.
+TEST_CASE("EntryWithALaterNumberGetsTheWholeTable")
 {
   const QuarantineTable table;
-  CHECK(table.Since(9) == QuarantineTold{ .mFrom = 0, .mTo = 1 });
+  CHECK(table.UpdateSince(9) == QuarantineUpdate{ .mFrom = 0, .mTo = 1 });
 }
 
-TEST_CASE("AClearedRowKeepsTheEndsThatCountNoMore")
+TEST_CASE("ClearedRowKeepsItsCrashes")
 {
   QuarantineTable table;
   table.Apply(Change(1, QuarantineStage::kRefused));
@@ -70,7 +70,7 @@
   CHECK(row->mChange.mCrashes.size() == 1);
 }
 
-TEST_CASE("TheTableIsBoundedAndLosesClearedRowsFirst")
+TEST_CASE("TableIsBoundedAndEvictsClearedRowsFirst")
 {
   constexpr std::uint64_t kMany = 600;
   QuarantineTable table;
@@ -82,7 +82,7 @@
   CHECK(table.mRows.size() < kMany);
   REQUIRE(table.Find({ .mLow = 1 }) != nullptr);
   CHECK(table.Find({ .mLow = 2 }) == nullptr);
-  CHECK(table.Since(known).mFrom == 0);
+  CHECK(table.UpdateSince(known).mFrom == 0);
 }
 
 } // namespace peridotspool::routing
--- a/test/routing/RoutingFixture.h
+++ b/test/routing/RoutingFixture.h
@@ -7,23 +7,23 @@
 inline constexpr TimePoint kStart{ std::chrono::hours(1) };
 inline const ServiceName kAssistant("assistant");
 
-/** Returns a serving upstream's first announcement, to be changed. */
+/** Returns the first announcement of a serving upstream. */
 inline UpstreamAnnouncement
 Announcement(const std::string& aName, std::uint64_t aSequence = 1)
 {
-  UpstreamAnnouncement news;
-  news.mName = UpstreamName(aName);
-  news.mIncarnation = Incarnation(1);
-  news.mSequence = aSequence;
-  news.mService = kAssistant;
-  news.mAddress = { "10.0.0.1", 9000 };
-  news.mSlots = 4;
-  news.mFirstToken = std::chrono::milliseconds(100);
-  news.mLease = std::chrono::seconds(2);
-  return news;
+  UpstreamAnnouncement announcement;
+  announcement.mName = UpstreamName(aName);
+  announcement.mIncarnation = Incarnation(1);
+  announcement.mSequence = aSequence;
+  announcement.mService = kAssistant;
+  announcement.mAddress = { "10.0.0.1", 9000 };
+  announcement.mSlots = 4;
+  announcement.mFirstToken = std::chrono::milliseconds(100);
+  announcement.mLease = std::chrono::seconds(2);
+  return announcement;
 }
 
-/** Returns a request whose deadline is far. */
+/** Returns a request with a distant deadline. */
 inline RouteQuery
 Query()
 {
@@ -33,12 +33,12 @@
   return query;
 }
 
-/** Returns the chosen upstream's name; empty if none. */
+/** Returns the chosen upstream's name; empty if there is none. */
 inline std::string
 Chosen(Router& aRouter, const RouteQuery& aQuery, TimePoint aNow)
 {
-  NoRoute whyNot = NoRoute::kNoUpstream;
-  const auto choice = aRouter.Choose(aQuery, aNow, whyNot);
+  NoRoute reason = NoRoute::kNoUpstream;
+  const auto choice = aRouter.Choose(aQuery, aNow, reason);
   return choice ? choice->mUpstream.Value() : "";
 }
 
